--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -1,7 +1,7 @@
 //! The operator's configuration: `prost` messages that are read from JSON, as the protocol has it. What is invalid
 //! stands in `validity`.
 
-use crate::kind::Kind;
+use crate::kind::ErrorKind;
 use prost::Message;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -158,14 +158,15 @@
 impl Configuration {
     /// Reads a configuration without checking it: one that was agreed holds, whatever is refused before it is agreed today.
     /// Errors: the bytes are none.
-    pub fn decode(bytes: &[u8]) -> Result<Configuration, Kind> {
-        let text = std::str::from_utf8(bytes).map_err(|problem| Kind::Unreadable(problem.to_string()))?;
-        serde_json::from_str(text).map_err(|problem| Kind::Unreadable(problem.to_string()))
+    pub fn decode(bytes: &[u8]) -> Result<Configuration, ErrorKind> {
+        let text =
+            std::str::from_utf8(bytes).map_err(|problem| ErrorKind::Unreadable(problem.to_string()))?;
+        serde_json::from_str(text).map_err(|problem| ErrorKind::Unreadable(problem.to_string()))
     }
 
     /// Fields that the bytes hold and that are passed over here, each once, names of routes and services as `*`. Errors: the
     /// bytes can't be read.
-    pub fn passed_over(bytes: &[u8]) -> Result<BTreeSet<String>, Kind> {
+    pub fn ignored_fields(bytes: &[u8]) -> Result<BTreeSet<String>, ErrorKind> {
         let mut found = BTreeSet::new();
         let mut note = |path: serde_ignored::Path<'_>| {
             let mut steps: Vec<String> = path.to_string().split('.').map(str::to_owned).collect();
@@ -177,7 +178,7 @@
         };
         let mut reader = serde_json::Deserializer::from_slice(bytes);
         let read: Result<Configuration, _> = serde_ignored::deserialize(&mut reader, &mut note);
-        read.map_err(|problem| Kind::Unreadable(problem.to_string()))?;
+        read.map_err(|problem| ErrorKind::Unreadable(problem.to_string()))?;
         found.retain(|field| !FIXED.contains(&field.as_str()));
         Ok(found)
     }
@@ -185,7 +186,7 @@
 
 /// What may be done with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Class {
+pub enum TrafficClass {
     /// May run more than once.
     Idempotent,
     /// At most once.
@@ -194,27 +195,27 @@
     Downlink,
 }
 
-impl Class {
+impl TrafficClass {
     /// Whether it may run more than once.
-    pub fn repeatable(self) -> bool {
-        self != Class::NonIdempotent
+    pub fn is_retry_safe(self) -> bool {
+        self != TrafficClass::NonIdempotent
     }
 }
 
 impl Route {
     /// Its class, if it is one of those named in the protocol.
-    pub fn class(&self) -> Option<Class> {
+    pub fn class(&self) -> Option<TrafficClass> {
         match self.traffic_class.as_str() {
-            "idempotent" => Some(Class::Idempotent),
-            "non_idempotent" => Some(Class::NonIdempotent),
-            "downlink" => Some(Class::Downlink),
+            "idempotent" => Some(TrafficClass::Idempotent),
+            "non_idempotent" => Some(TrafficClass::NonIdempotent),
+            "downlink" => Some(TrafficClass::Downlink),
             _ => None,
         }
     }
 
     /// The host by which requests are known as its own: without a port, in small letters.
-    pub fn host(&self) -> String {
-        host(&self.domain)
+    pub fn normalized_host(&self) -> String {
+        normalize_host(&self.domain)
     }
 
     /// Its services with their shares.
@@ -227,7 +228,7 @@
 }
 
 /// A host as it is compared: without its port, in small letters.
-pub fn host(given: &str) -> String {
+pub fn normalize_host(given: &str) -> String {
     let name = given.rsplit_once(':').filter(|(_, port)| port.bytes().all(|it| it.is_ascii_digit()));
     name.map_or(given, |(name, _)| name).trim_end_matches('.').to_ascii_lowercase()
 }
--- a/crates/config/src/event.rs
+++ b/crates/config/src/event.rs
@@ -73,7 +73,7 @@
 }
 
 /// Sends the log to standard output: `[time] level event text`. `level` is one of `log`'s names; others mean `info`.
-pub fn start(level: &str) {
+pub fn init_logging(level: &str) {
     use log4rs::append::console::ConsoleAppender;
     use log4rs::config::{Appender, Config, Root};
     use log4rs::encode::pattern::PatternEncoder;
--- a/crates/config/src/kind.rs
+++ b/crates/config/src/kind.rs
@@ -4,16 +4,16 @@
 
 /// Everything that can go wrong between a caller and the system.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
-pub enum Kind {
+pub enum ErrorKind {
     /// No configuration that is in force has a route for it.
     #[display("no route")]
     NoRoute,
     /// No route is known for it, and the core has been out of reach for so long that there may be one by now.
     #[display("no route known, and the core is out of reach")]
-    OutOfTouch,
+    CoreUnreachable,
     /// It has no key of a tenant, and its route needs one.
     #[display("no key, or none that is known")]
-    UnknownKey,
+    Unauthorized,
     /// It is no request as the protocol has it.
     #[display("not a request: {_0}")]
     BadRequest(#[error(not(source))] String),
@@ -28,28 +28,28 @@
     StateTooLarge(#[error(not(source))] usize, usize),
     /// This process has no configuration yet.
     #[display("no configuration yet")]
-    NotReady,
+    NotConfigured,
     /// This process is to end too soon for a request that comes now.
     #[display("this machine is about to end")]
-    Leaving,
+    ShuttingDown,
     /// Every marshal that may serve it has all it can bear.
     #[display("all marshals are full")]
-    Full,
+    AtCapacity,
     /// No marshal is known, or none could be reached; nothing was sent.
     #[display("no marshal to be reached")]
-    NoMarshal,
+    NoReachableMarshal,
     /// The marshal turned it away unread.
     #[display("turned away by the marshal")]
-    TurnedAway,
+    RejectedByMarshal,
     /// Its time was over before it was sent.
     #[display("its time is over, it was not sent")]
-    Expired,
+    DeadlineExceeded,
     /// It was sent, and the marshal broke off or answered with bytes that are no answer.
     #[display("the marshal broke off")]
-    Broken,
+    MarshalDisconnected,
     /// It was sent, and no answer came in its time.
     #[display("no answer in time")]
-    Silent,
+    ResponseTimeout,
     /// The body can't be read whole.
     #[display("unreadable: {_0}")]
     Unreadable(#[error(not(source))] String),
@@ -64,111 +64,120 @@
     NegativeShare(#[error(not(source))] String),
     /// A number that counts or measures is below 0: the entry, and its field.
     #[display("{_0} has a {_1} below 0")]
-    BelowZero(String, &'static str),
+    NegativeValue(String, &'static str),
     /// Every share is 0, so that no service could be drawn.
     #[display("route {_0} has no share above 0")]
-    NoShare(#[error(not(source))] String),
+    ZeroShares(#[error(not(source))] String),
     /// Two routes of one host and prefix.
     #[display("routes {_0} and {_1} have the same domain and pathPrefix")]
-    SamePlace(String, String),
+    DuplicateRoute(String, String),
     /// One key of two subscribers.
     #[display("subscribers {_0} and {_1} have a key in common")]
-    SharedKey(String, String),
+    DuplicateKey(String, String),
     /// A name that no header can hold.
     #[display("subscriber {_0} has a name that no header can hold")]
-    OddName(#[error(not(source))] String),
+    InvalidSubscriberName(#[error(not(source))] String),
     /// A class that is none of those named.
     #[display("route {_0} has the unknown trafficClass {_1}")]
-    OddClass(String, String),
+    UnknownTrafficClass(String, String),
     /// A prefix without its slash.
     #[display("route {_0} has a pathPrefix that does not begin with a slash")]
-    BarePrefix(#[error(not(source))] String),
+    InvalidPathPrefix(#[error(not(source))] String),
     /// Less than a millisecond: no request could be served by it.
     #[display("route {_0} has a guardS under a millisecond")]
-    NoGuard(#[error(not(source))] String),
+    GuardTooShort(#[error(not(source))] String),
     /// Over ten minutes.
     #[display("route {_0} has a guardS over ten minutes")]
-    LongGuard(#[error(not(source))] String),
+    GuardTooLong(#[error(not(source))] String),
     /// A minute or more over `guardS`.
     #[display("route {_0} has a targetS a minute or more over its guardS")]
-    FarTarget(#[error(not(source))] String),
+    TargetTooLong(#[error(not(source))] String),
     /// The number is not above the current one.
     #[display("revision {_0} is not above the current one, {_1}")]
-    OldRevision(#[error(not(source))] u64, u64),
+    OutdatedRevision(#[error(not(source))] u64, u64),
     /// `If-Match` is missing or no number.
     #[display("If-Match is missing or no number")]
-    NoMatch,
+    InvalidIfMatch,
     /// Another version is in place.
     #[display("revision {_0} is in place")]
-    Stale(#[error(not(source))] u64),
+    RevisionMismatch(#[error(not(source))] u64),
     /// A beat that can't be used.
     #[display("beat: {_0}")]
-    BadBeat(#[error(not(source))] String),
+    InvalidBeat(#[error(not(source))] String),
     /// The body of a call did not come in time; nothing was done.
     #[display("the body did not come in time")]
-    Slow,
+    BodyTimeout,
     /// Nothing there by that name.
     #[display("there is no {_0}")]
-    Unknown(#[error(not(source))] String),
+    NotFound(#[error(not(source))] String),
     /// A path that is not served.
     #[display("no such path")]
-    NoPath,
+    UnknownPath,
     /// A method that the path doesn't have.
     #[display("no such method here")]
-    NoMethod,
+    MethodNotAllowed,
     /// The core has no leader: nothing was taken.
     #[display("the core has no leader at present")]
     NoLeader,
     /// An order was held up on its way until a later one stood: nothing was taken.
     #[display("a later order stands")]
-    Outdated,
+    Superseded,
     /// An order was passed to a leader, and what became of it is not known.
     #[display("what became of it is not known at present")]
-    Uncertain,
+    OutcomeUnknown,
 }
 
 /// How a kind is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct ErrorResponse {
     /// The status.
     pub status: u16,
     /// It promises that the request has not run and never will.
-    pub promise: bool,
+    pub not_executed: bool,
     /// It says when to come back.
-    pub again: bool,
+    pub retryable: bool,
 }
 
-impl Kind {
+impl ErrorKind {
     /// The table.
-    pub fn answer(&self) -> Answer {
-        let (status, promise, again) = match self {
-            Kind::NoRoute | Kind::Unknown(_) | Kind::NoPath => (404, true, false),
-            Kind::NoMethod => (405, true, false),
-            Kind::BadRequest(_) | Kind::Unreadable(_) | Kind::BadBeat(_) | Kind::NoMatch => {
+    pub fn response(&self) -> ErrorResponse {
+        let (status, not_executed, retryable) = match self {
+            ErrorKind::NoRoute | ErrorKind::NotFound(_) | ErrorKind::UnknownPath => (404, true, false),
+            ErrorKind::MethodNotAllowed => (405, true, false),
+            ErrorKind::BadRequest(_)
+            | ErrorKind::Unreadable(_)
+            | ErrorKind::InvalidBeat(_)
+            | ErrorKind::InvalidIfMatch => (400, true, false),
+            ErrorKind::NoService(_) | ErrorKind::UnknownService(..) | ErrorKind::NegativeShare(_) => {
                 (400, true, false)
             }
-            Kind::NoService(_) | Kind::UnknownService(..) | Kind::NegativeShare(_) => (400, true, false),
-            Kind::NoShare(_) | Kind::NoGuard(_) | Kind::SamePlace(..) => (400, true, false),
-            Kind::SharedKey(..) | Kind::OddName(_) | Kind::BelowZero(..) => (400, true, false),
-            Kind::OddClass(..) | Kind::BarePrefix(_) | Kind::LongGuard(_) => (400, true, false),
-            Kind::UnknownKey => (401, true, false),
-            Kind::FarTarget(_) | Kind::OldRevision(..) => (400, true, false),
-            Kind::Slow => (408, true, false),
-            Kind::Stale(_) => (412, true, false),
-            Kind::HeadTooLarge => (431, true, false),
-            Kind::BodyTooLarge | Kind::StateTooLarge(..) => (413, true, false),
-            Kind::Leaving
-            | Kind::OutOfTouch
-            | Kind::NotReady
-            | Kind::Full
-            | Kind::NoMarshal
-            | Kind::TurnedAway => (503, true, true),
-            Kind::Expired => (503, true, false),
-            Kind::NoLeader | Kind::Outdated => (503, true, true),
-            Kind::Uncertain => (504, false, true),
-            Kind::Broken => (502, false, false),
-            Kind::Silent => (504, false, false),
+            ErrorKind::ZeroShares(_) | ErrorKind::GuardTooShort(_) | ErrorKind::DuplicateRoute(..) => {
+                (400, true, false)
+            }
+            ErrorKind::DuplicateKey(..)
+            | ErrorKind::InvalidSubscriberName(_)
+            | ErrorKind::NegativeValue(..) => (400, true, false),
+            ErrorKind::UnknownTrafficClass(..)
+            | ErrorKind::InvalidPathPrefix(_)
+            | ErrorKind::GuardTooLong(_) => (400, true, false),
+            ErrorKind::Unauthorized => (401, true, false),
+            ErrorKind::TargetTooLong(_) | ErrorKind::OutdatedRevision(..) => (400, true, false),
+            ErrorKind::BodyTimeout => (408, true, false),
+            ErrorKind::RevisionMismatch(_) => (412, true, false),
+            ErrorKind::HeadTooLarge => (431, true, false),
+            ErrorKind::BodyTooLarge | ErrorKind::StateTooLarge(..) => (413, true, false),
+            ErrorKind::ShuttingDown
+            | ErrorKind::CoreUnreachable
+            | ErrorKind::NotConfigured
+            | ErrorKind::AtCapacity
+            | ErrorKind::NoReachableMarshal
+            | ErrorKind::RejectedByMarshal => (503, true, true),
+            ErrorKind::DeadlineExceeded => (503, true, false),
+            ErrorKind::NoLeader | ErrorKind::Superseded => (503, true, true),
+            ErrorKind::OutcomeUnknown => (504, false, true),
+            ErrorKind::MarshalDisconnected => (502, false, false),
+            ErrorKind::ResponseTimeout => (504, false, false),
         };
-        Answer { status, promise, again }
+        ErrorResponse { status, not_executed, retryable }
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -13,5 +13,5 @@
 pub use configuration::Configuration;
 pub use difference::Difference;
 pub use event::Event;
-pub use kind::Kind;
+pub use kind::ErrorKind;
 pub use settings::Settings;
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -9,7 +9,7 @@
 pub struct Settings {
     /// The process and its machine.
     #[serde(rename = "self")]
-    pub own: Own,
+    pub own: ProcessSettings,
     /// Addresses.
     pub network: Network,
     /// How marshals become known.
@@ -23,7 +23,7 @@
 /// The process and its machine.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Own {
+pub struct ProcessSettings {
     /// The machine's name.
     pub node_name: String,
     /// What it serves: `edge`, `control`, `directory`.
@@ -177,7 +177,7 @@
 
 impl Settings {
     /// Reads the file's text. The error names the field or the line.
-    pub fn read(text: &str) -> Result<Settings, String> {
+    pub fn parse(text: &str) -> Result<Settings, String> {
         let whole: toml::Value = toml::from_str(text).map_err(|problem| problem.to_string())?;
         finite("", &whole)?;
         let settings: Settings = toml::from_str(text).map_err(|problem| problem.to_string())?;
--- a/crates/config/tests/drawn_wrong.rs
+++ b/crates/config/tests/drawn_wrong.rs
@@ -69,7 +69,7 @@
 fn each_field_is_refused_in_each_way_in_which_it_is_wrong() {
     let document: Value = serde_json::from_str(SCHEMA).unwrap();
     let (schemas, whole) = (&document["components"]["schemas"], whole());
-    let read = |configuration: &Value| Configuration::read(configuration.to_string().as_bytes());
+    let read = |configuration: &Value| Configuration::parse(configuration.to_string().as_bytes());
     assert!(read(&whole).is_ok(), "{:?}", read(&whole));
     let mut found = Vec::new();
     fields(schemas, &schemas["Configuration"], &whole, "", &mut found);
@@ -94,7 +94,7 @@
             };
             let twice = format!("{},\"{name}\":{}", marked.1, marked.1);
             drawn += 1;
-            if Configuration::read(marked.0.replace("\"MARK\"", &twice).as_bytes()).is_ok() {
+            if Configuration::parse(marked.0.replace("\"MARK\"", &twice).as_bytes()).is_ok() {
                 taken.push(format!("{at} twice"));
             }
         }
@@ -110,7 +110,7 @@
     configuration["thresholds"] = json!([16384, 1, 3, 15]);
     configuration["targets"]["t"]["warmupS"] = json!(-1);
     let text = configuration.to_string();
-    assert!(Configuration::read(text.as_bytes()).is_err());
+    assert!(Configuration::parse(text.as_bytes()).is_err());
     let decoded = Configuration::decode(text.as_bytes()).unwrap();
     assert_eq!(decoded.thresholds.unwrap().max_body_bytes, 1);
 }
--- a/crates/config/tests/invalid.rs
+++ b/crates/config/tests/invalid.rs
@@ -1,22 +1,22 @@
 //! Configurations that are taken for whole and can't be meant: each is refused with a reason that names the place.
 
-use milletwing_config::{Configuration, Kind};
+use milletwing_config::{Configuration, ErrorKind};
 
 const ROUTE: &str = r#"{"domain":"h.example","pathPrefix":"/a/","trafficClass":"idempotent","guardS":5,"targetS":0.8,
 "distribution":[{"target":"s","share":90},{"target":"t","share":10}],"maxTries":2,"servingRegions":[]}"#;
 
 /// A configuration of these routes and subscribers.
-fn read(routes: &[(&str, String)], subscribers: &str) -> Result<Configuration, Kind> {
+fn read(routes: &[(&str, String)], subscribers: &str) -> Result<Configuration, ErrorKind> {
     let routes: Vec<String> = routes.iter().map(|(name, route)| format!("\"{name}\":{route}")).collect();
     let text = format!(
         r#"{{"revision":7,"routing":{{{}}},"targets":{{"s":{{}},"t":{{}}}},"subscribers":{{{subscribers}}}}}"#,
         routes.join(",")
     );
-    Configuration::read(text.as_bytes())
+    Configuration::parse(text.as_bytes())
 }
 
 /// The one route with a field replaced.
-fn with(from: &str, to: &str) -> Result<Configuration, Kind> {
+fn with(from: &str, to: &str) -> Result<Configuration, ErrorKind> {
     let route = ROUTE.replace(from, to);
     assert_ne!(route, ROUTE, "{from}");
     read(&[("r", route)], "")
@@ -43,11 +43,11 @@
     let route = ROUTE.replace("\"distribution\"", "\"target\":\"s\",\"distribution\"");
     let beside = |from: &str, to: &str| read(&[("r", route.replace(from, to))], "");
     assert!(beside("90", "90").is_ok());
-    assert_eq!(beside("\"t\"", "\"u\"").unwrap_err(), Kind::UnknownService("r".into(), "u".into()));
-    assert_eq!(beside("10", "-1").unwrap_err(), Kind::NegativeShare("r".into()));
+    assert_eq!(beside("\"t\"", "\"u\"").unwrap_err(), ErrorKind::UnknownService("r".into(), "u".into()));
+    assert_eq!(beside("10", "-1").unwrap_err(), ErrorKind::NegativeShare("r".into()));
     assert_eq!(
         beside("\"s\",\"dist", "\"u\",\"dist").unwrap_err(),
-        Kind::UnknownService("r".into(), "u".into())
+        ErrorKind::UnknownService("r".into(), "u".into())
     );
 }
 
--- a/crates/config/tests/reading.rs
+++ b/crates/config/tests/reading.rs
@@ -1,7 +1,7 @@
 //! What operators and the platform hand in: read whole, or refused with a reason that names the place.
 
 use expect_test::expect;
-use milletwing_config::{Configuration, Difference, Event, Kind, Settings};
+use milletwing_config::{Configuration, Difference, ErrorKind, Event, Settings};
 
 const SETTINGS: &str = r#"
 [self]
@@ -37,7 +37,7 @@
 
 #[test]
 fn settings_are_read_with_fields_that_nobody_knows() {
-    let settings = Settings::read(SETTINGS).unwrap();
+    let settings = Settings::parse(SETTINGS).unwrap();
     assert_eq!((settings.id(), settings.region("a")), (0x0a01_0022, "north"));
     assert_eq!(settings.timers.guarantees.applyS, 2.5);
     assert_eq!(settings.timers.guarantees.retryBudgetRatio, 0.2, "what is absent has the pages' value");
@@ -46,14 +46,14 @@
 /// Cut off at any byte, the file is refused or lacks whole tables that may be absent; it never gives a wrong address.
 #[test]
 fn half_written_settings_are_refused_or_say_the_same() {
-    let whole = Settings::read(SETTINGS).unwrap();
+    let whole = Settings::parse(SETTINGS).unwrap();
     for end in 0..SETTINGS.len() {
-        if let Ok(part) = Settings::read(&SETTINGS[..end]) {
+        if let Ok(part) = Settings::parse(&SETTINGS[..end]) {
             assert_eq!(part.own.ip_address, whole.own.ip_address);
             assert_eq!(part.network.internal_ports, whole.network.internal_ports);
         }
     }
-    let refused = |from: &str, to: &str| Settings::read(&SETTINGS.replace(from, to)).unwrap_err();
+    let refused = |from: &str, to: &str| Settings::parse(&SETTINGS.replace(from, to)).unwrap_err();
     expect!["network.internalPorts: 7555 to 7540 is no span of ports"]
         .assert_eq(&refused("[7540, 7555]", "[7555, 7540]"));
     assert!(refused("ipAddress = \"10.1.0.34\"", "").contains("ipAddress"));
@@ -70,63 +70,69 @@
 
 #[test]
 fn each_invalid_thing_of_the_protocol_has_its_own_kind() {
-    let valid = Configuration::read(CONFIGURATION.as_bytes()).unwrap();
+    let valid = Configuration::parse(CONFIGURATION.as_bytes()).unwrap();
     assert_eq!((valid.revision, valid.routing["r"].shares().len()), (7, 2));
     let refused = |from: &str, to: &str| {
         let text = CONFIGURATION.replace(from, to);
         assert_ne!(text, CONFIGURATION, "{from}");
-        Configuration::read(text.as_bytes()).unwrap_err()
+        Configuration::parse(text.as_bytes()).unwrap_err()
     };
-    assert_eq!(refused("\"t\",\"share\"", "\"u\",\"share\""), Kind::UnknownService("r".into(), "u".into()));
-    assert_eq!(refused("\"share\":10", "\"share\":-1"), Kind::NegativeShare("r".into()));
-    assert_eq!(refused("\"guardS\":5", "\"guardS\":600.5"), Kind::LongGuard("r".into()));
-    assert_eq!(refused("\"targetS\":0.8", "\"targetS\":65"), Kind::FarTarget("r".into()));
-    assert_eq!(refused("\"/a/\"", "\"a/\""), Kind::BarePrefix("r".into()));
-    assert_eq!(refused("\"idempotent\"", "\"idem\""), Kind::OddClass("r".into(), "idem".into()));
-    assert!(matches!(refused("\"revision\":7", "\"revision\":\"7\""), Kind::Unreadable(_)));
+    assert_eq!(
+        refused("\"t\",\"share\"", "\"u\",\"share\""),
+        ErrorKind::UnknownService("r".into(), "u".into())
+    );
+    assert_eq!(refused("\"share\":10", "\"share\":-1"), ErrorKind::NegativeShare("r".into()));
+    assert_eq!(refused("\"guardS\":5", "\"guardS\":600.5"), ErrorKind::GuardTooLong("r".into()));
+    assert_eq!(refused("\"targetS\":0.8", "\"targetS\":65"), ErrorKind::TargetTooLong("r".into()));
+    assert_eq!(refused("\"/a/\"", "\"a/\""), ErrorKind::InvalidPathPrefix("r".into()));
+    assert_eq!(
+        refused("\"idempotent\"", "\"idem\""),
+        ErrorKind::UnknownTrafficClass("r".into(), "idem".into())
+    );
+    assert!(matches!(refused("\"revision\":7", "\"revision\":\"7\""), ErrorKind::Unreadable(_)));
     // What is just within is valid.
     for (from, to) in [
         ("\"guardS\":5", "\"guardS\":600"),
         ("\"targetS\":0.8", "\"targetS\":64.9"),
         ("\"share\":10", "\"share\":0"),
     ] {
-        assert!(Configuration::read(CONFIGURATION.replace(from, to).as_bytes()).is_ok(), "{to}");
+        assert!(Configuration::parse(CONFIGURATION.replace(from, to).as_bytes()).is_ok(), "{to}");
     }
 }
 
 #[test]
 fn a_configuration_cut_anywhere_or_in_a_wrong_encoding_is_unreadable() {
     for end in 0..CONFIGURATION.len() {
-        let read = Configuration::read(&CONFIGURATION.as_bytes()[..end]);
-        assert!(matches!(read, Err(Kind::Unreadable(_))), "cut at {end}");
+        let read = Configuration::parse(&CONFIGURATION.as_bytes()[..end]);
+        assert!(matches!(read, Err(ErrorKind::Unreadable(_))), "cut at {end}");
     }
     let wide: Vec<u8> = CONFIGURATION.encode_utf16().flat_map(u16::to_le_bytes).collect();
-    assert!(matches!(Configuration::read(&wide), Err(Kind::Unreadable(_))));
+    assert!(matches!(Configuration::parse(&wide), Err(ErrorKind::Unreadable(_))));
     let latin = CONFIGURATION
         .replace("h.example", "h\u{e9}")
         .into_bytes()
         .iter()
         .map(|byte| if *byte == 0xc3 { 0xe9 } else { *byte })
         .collect::<Vec<_>>();
-    assert!(matches!(Configuration::read(&latin), Err(Kind::Unreadable(_))));
+    assert!(matches!(Configuration::parse(&latin), Err(ErrorKind::Unreadable(_))));
 }
 
-/// The one table: only answers that promise it say that nothing ran, and only those that may be tried again say when.
+/// The one table: only answers that not_executed it say that nothing ran, and only those that may be tried again say when.
 #[test]
 fn answers_that_promise_are_those_of_the_protocol() {
     let kinds = [
-        Kind::NotReady,
-        Kind::Full,
-        Kind::NoMarshal,
-        Kind::TurnedAway,
-        Kind::Expired,
-        Kind::Broken,
-        Kind::Silent,
+        ErrorKind::NotConfigured,
+        ErrorKind::AtCapacity,
+        ErrorKind::NoReachableMarshal,
+        ErrorKind::RejectedByMarshal,
+        ErrorKind::DeadlineExceeded,
+        ErrorKind::MarshalDisconnected,
+        ErrorKind::ResponseTimeout,
     ];
     for kind in kinds {
-        let answer = kind.answer();
-        assert_eq!(answer.promise, matches!(answer.status, 429 | 503 | 408 | 421), "{kind}");
-        assert!(!answer.again || answer.status == 503, "{kind}");
+        let answer = kind.response();
+        assert_eq!(answer.not_executed, matches!(answer.status, 429 | 503 | 408 | 421), "{kind}");
+        assert!(!answer.retryable || answer.status == 503, "{kind}");
     }
 }
 
@@ -147,9 +153,9 @@
 /// The line of the log names what changed, with the values, and stays short however much did.
 #[test]
 fn a_difference_names_what_changed() {
-    let before = Configuration::read(CONFIGURATION.as_bytes()).unwrap();
+    let before = Configuration::parse(CONFIGURATION.as_bytes()).unwrap();
     let text = CONFIGURATION.replace("\"guardS\":5", "\"guardS\":4").replace("\"share\":10", "\"share\":0");
-    let after = Configuration::read(text.as_bytes()).unwrap();
+    let after = Configuration::parse(text.as_bytes()).unwrap();
     expect!["1 routes, 2 services; changed: r (guardS 5 to 4, target s:90+t:10 to s:90+t:0)"]
         .assert_eq(&Difference::between(Some(&before), &after).to_string());
     expect!["1 routes, 2 services; added: r; services: s, t; thresholds"]
@@ -165,7 +171,7 @@
 #[test]
 fn fields_that_are_passed_over_are_told() {
     let fields =
-        |text: &str| Configuration::passed_over(text.as_bytes()).unwrap().into_iter().collect::<Vec<_>>();
+        |text: &str| Configuration::ignored_fields(text.as_bytes()).unwrap().into_iter().collect::<Vec<_>>();
     assert!(fields(CONFIGURATION).is_empty());
     let text = CONFIGURATION
         .replace("\"guardS\"", "\"quotaS\":3,\"guardS\"")
--- a/crates/control-plane/src/core.rs
+++ b/crates/control-plane/src/core.rs
@@ -21,7 +21,7 @@
 use milletwing_outlier_detection::{Board, Observed, Tally};
 use milletwing_replicated_state::{EdgeStatus, Registry, View};
 use milletwing_sequential_test::{self as sequential_test};
-use milletwing_wire::{Answer, Peer};
+use milletwing_wire::{Answer, PeerMessage};
 use orders::{reverted_services, Changed, Orders};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -188,7 +188,7 @@
         };
         let founders = settings.own.initial_attach.then_some(seeds.as_slice());
         let member = Member::new(options, &writes.stored, founders, &seeds, 1)?;
-        let view = View::unpacked(&member.snapshot().data)?;
+        let view = View::from_compressed(&member.snapshot().data)?;
         let restored = view.index;
         // Half of what may pass until a change is in force: the rest is for the way here.
         let lag = (settings.timers.guarantees.applyS * 500.0) as Time;
@@ -270,7 +270,7 @@
             core.fold();
             core.note_changes();
             for (to, message) in core.member.unbound() {
-                core.post(to, &Peer::Consensus(message));
+                core.post(to, &PeerMessage::Consensus(message));
             }
             if core.out.is_some() {
                 return;
@@ -278,7 +278,7 @@
             let Some(work) = core.member.work() else { return };
             if work.batch.is_empty() {
                 for (to, message) in work.messages {
-                    core.post(to, &Peer::Consensus(message));
+                    core.post(to, &PeerMessage::Consensus(message));
                 }
                 continue;
             }
@@ -304,7 +304,7 @@
                 }
                 core.member.saved(now, out.last);
                 for (to, message) in out.messages {
-                    core.post(to, &Peer::Consensus(message));
+                    core.post(to, &PeerMessage::Consensus(message));
                 }
             }
         }
@@ -342,10 +342,10 @@
             self.trials.clear();
             self.tally = Tally::default();
             self.lingers.clear();
-            self.registry.lead(now, &self.view, &Core::cold_for(&self.view));
+            self.registry.become_leader(now, &self.view, &Core::cold_for(&self.view));
         }
         if role != Role::Leader && self.role == Role::Leader {
-            self.registry.follow();
+            self.registry.become_follower();
         }
         if leader != self.leader && role != Role::Leader {
             let name = leader.map_or("nobody".into(), |id| std::net::Ipv4Addr::from_bits(id).to_string());
@@ -370,7 +370,7 @@
 
     /// A peer's message on a connection that it made. False where that was replaced by a newer one: the message may be an earlier
     /// life's and counts for nothing, and the connection is to be closed, so that a peer that lives makes another.
-    pub fn heard(shared: &Shared, from: Id, connection: u64, peer: Peer) -> bool {
+    pub fn heard(shared: &Shared, from: Id, connection: u64, peer: PeerMessage) -> bool {
         {
             let core = &mut *shared.borrow_mut();
             if core.connections.get(&from) != Some(&connection) {
@@ -378,40 +378,40 @@
             }
             let now = core.now();
             match peer {
-                Peer::Consensus(message) => core.member.step(now, from, message),
-                Peer::Gossip { nodes, edges, heartbeats } => {
-                    core.registry.heard(now, &nodes);
-                    edges.into_iter().for_each(|(edge, ago)| core.registry.edge(now, edge, ago));
-                    heartbeats.iter().for_each(|it| core.registry.edge_heartbeat(now, it));
+                PeerMessage::Consensus(message) => core.member.step(now, from, message),
+                PeerMessage::Gossip { nodes, edges, heartbeats } => {
+                    core.registry.record_heard(now, &nodes);
+                    edges.into_iter().for_each(|(edge, ago)| core.registry.record_edge(now, edge, ago));
+                    heartbeats.iter().for_each(|it| core.registry.record_edge_heartbeat(now, it));
                 }
-                Peer::Call { call, ask } => {
+                PeerMessage::Call { call, ask } => {
                     let shared = Rc::clone(shared);
                     tokio::task::spawn_local(async move {
                         let answer = Core::lead(&shared, ask).await;
-                        shared.borrow().post(from, &Peer::Reply { call, answer });
+                        shared.borrow().post(from, &PeerMessage::Reply { call, answer });
                     });
                 }
-                Peer::Reply { call, answer } => {
+                PeerMessage::Reply { call, answer } => {
                     core.calls.answered(from, call, answer); // one that nobody waits for is dropped
                 }
-                Peer::Reports { edge, life, reports } => {
+                PeerMessage::Reports { edge, life, reports } => {
                     if core.role == Role::Leader {
                         core.reports(edge, life, reports);
                     }
                 }
-                Peer::Drift { edge, life, zone, finding } => {
+                PeerMessage::Drift { edge, life, zone, finding } => {
                     if core.role == Role::Leader {
-                        core.drift.repairer.told(now, edge, life, &zone, finding);
+                        core.drift.repairer.record_finding(now, edge, life, &zone, finding);
                     }
                 }
-                Peer::ViewDigest(index, digest) => core.view_digest(now, from, index, &digest),
-                Peer::Observed(told) => {
+                PeerMessage::ViewDigest(index, digest) => core.view_digest(now, from, index, &digest),
+                PeerMessage::Observed(told) => {
                     for (edge, ago, observed) in told {
                         core.board.take(now, &observed, ago);
                         core.suspect(now, edge, &observed, ago);
                     }
                 }
-                Peer::Join => {
+                PeerMessage::Join => {
                     core.joins.insert(from, now);
                     let replaced = core.replaced();
                     core.joins.retain(|_, at| now.saturating_sub(*at) < replaced);
@@ -447,7 +447,7 @@
     }
 
     fn sweep(&mut self, now: Time) {
-        let ready: BTreeSet<u32> = self.registry.ready(now).iter().map(|edge| edge.id).collect();
+        let ready: BTreeSet<u32> = self.registry.ready_edges(now).iter().map(|edge| edge.id).collect();
         if !ready.is_subset(&self.ready) {
             self.grown = now;
         }
@@ -460,7 +460,7 @@
             commands.extend(self.bring_back(now));
             commands.extend(self.suspects(now));
             for command in commands {
-                self.member.propose(now, command.bytes());
+                self.member.propose(now, command.to_bytes());
             }
             self.replace(now);
         }
@@ -471,35 +471,35 @@
         self.reads.retain(|_, read| !read.is_closed());
         self.calls.forget();
         self.tell_margin(now);
-        self.registry.forget(now);
-        for (edge, life) in self.drift.checker.silent(now) {
+        self.registry.expire_edges(now);
+        for (edge, life) in self.drift.checker.unreporting_edges(now) {
             self.found(now, edge, life, Finding::Stuck);
         }
         if !self.met.is_empty() {
             let met = std::mem::take(&mut self.met).into_iter();
             let told =
                 met.map(|(edge, (_, at, observed))| (edge, now.saturating_sub(at), observed)).collect();
-            self.post_all(&Peer::Observed(told));
+            self.post_all(&PeerMessage::Observed(told));
         }
         if now >= self.told + 500 {
             self.told = now;
             if let Some((index, digest)) = self.drift.own() {
-                self.post_all(&Peer::ViewDigest(index, digest));
+                self.post_all(&PeerMessage::ViewDigest(index, digest));
             }
-            let nodes = self.registry.news();
+            let nodes = self.registry.take_heard_ids();
             // Guards against a machine that has just come up, or whose link lost a message: now and then all is told again.
             if now >= self.retold + RETELL {
                 self.retold = now;
                 self.gossiped.clear();
             }
             let (edges, heartbeats) = self.registry.gossip(now, &mut self.gossiped);
-            self.post_all(&Peer::Gossip { nodes, edges, heartbeats });
+            self.post_all(&PeerMessage::Gossip { nodes, edges, heartbeats });
             // One that is not a member, or that hears no leader and may have been replaced, asks all it knows: whoever leads
             // takes it in.
             let outside = !self.member.members().contains(&self.settings.id());
             if !self.leaving && !self.member.lost() && (outside || !self.member.fresh(now, 2_000)) {
                 for id in self.known.clone() {
-                    self.post(id, &Peer::Join);
+                    self.post(id, &PeerMessage::Join);
                 }
             }
         }
@@ -523,5 +523,5 @@
         settings.seeds().into_iter().for_each(|id| core.meet(id));
         core.settings.timers = settings.timers;
     };
-    milletwing_wire::watch(path, take).await;
+    milletwing_wire::watch_settings(path, take).await;
 }
--- a/crates/control-plane/src/core/evidence.rs
+++ b/crates/control-plane/src/core/evidence.rs
@@ -3,17 +3,17 @@
 use super::{Core, Time, FRESH};
 use milletwing_config::event;
 use milletwing_consensus::{Id, Role};
-use milletwing_drift_detection::{Digest, Finding, Names, Order};
+use milletwing_drift_detection::{Digest, Finding, LeafHashes, RepairOrder};
 use milletwing_outlier_detection::{key, Known, Move, Observed};
 use milletwing_replicated_state::{Command, EdgeStatus};
-use milletwing_wire::{frame, EdgeReport, Peer, ToEdge};
+use milletwing_wire::{encode_frame, EdgeReport, PeerMessage, ToEdge};
 use std::rc::Rc;
 
 impl Core {
     /// An edge's beat.
     pub fn beaten(&mut self, id: u64, said: EdgeReport) {
         let now = self.now();
-        let EdgeReport { edge, index, reports, observed, reflection, sample } = said;
+        let EdgeReport { edge, index, reports, observed, table_digest, sample } = said;
         if let Some(feed) = self.feeds.get_mut(&id) {
             feed.folded = index;
         }
@@ -22,13 +22,13 @@
         }
         self.observed(now, &edge, observed);
         let fresh = self.member.fresh(now, FRESH) && !self.member.lost();
-        let findings = self.drift.beat(now, &self.view, (edge.id, index), reflection, sample, fresh);
+        let findings = self.drift.beat(now, &self.view, (edge.id, index), table_digest, sample, fresh);
         let (number, life) = (edge.id, edge.life);
-        self.registry.edge(now, edge, 0);
+        self.registry.record_edge(now, edge, 0);
         for finding in findings {
-            if matches!(finding, Finding::Partial(_)) {
+            if matches!(finding, Finding::Mismatch(_)) {
                 if let Some(feed) = self.feeds.get(&id) {
-                    let _ = feed.send.try_send((None, Rc::new(frame(&ToEdge::Names))));
+                    let _ = feed.send.try_send((None, Rc::new(encode_frame(&ToEdge::LeafHashes))));
                     // it will be asked again
                 }
             }
@@ -37,7 +37,7 @@
     }
 
     /// What an edge routes by, thing by thing: for operators, where it differs.
-    pub fn named(&mut self, id: u64, names: &Names) {
+    pub fn named(&mut self, id: u64, names: &LeafHashes) {
         let Some(edge) = self.feeds.get(&id).map(|feed| feed.edge) else { return };
         let differences = self.drift.compare(&self.view, edge, names);
         if !differences.is_empty() {
@@ -50,9 +50,9 @@
         let zone = self.registry.edges(now).find(|(it, _)| it.id == edge).map(|(it, _)| it.zone.clone());
         let zone = zone.unwrap_or_default();
         if self.role == Role::Leader {
-            self.drift.repairer.told(now, edge, life, &zone, finding);
+            self.drift.repairer.record_finding(now, edge, life, &zone, finding);
         } else if let Some(leader) = self.leader {
-            self.post(leader, &Peer::Drift { edge, life, zone, finding });
+            self.post(leader, &PeerMessage::Drift { edge, life, zone, finding });
         }
     }
 
@@ -71,7 +71,7 @@
             .nodes
             .values()
             .map(|node| {
-                let (open, new) = self.view.standing(node);
+                let (open, new) = self.view.eligibility(node);
                 let (host, service) = (key(&node.id), node.target.clone());
                 let warm = node.phase == milletwing_replicated_state::Phase::Warm;
                 Known {
@@ -119,15 +119,15 @@
 
     /// What follows for edges that have drifted.
     pub(super) fn bring_back(&mut self, now: Time) -> Vec<Command> {
-        let ready = self.registry.ready(now).into_iter();
+        let ready = self.registry.ready_edges(now).into_iter();
         let ready: Vec<(u32, String)> = ready
-            .filter(|edge| !self.view.rests(edge.id, edge.life))
+            .filter(|edge| !self.view.is_resting(edge.id, edge.life))
             .map(|edge| (edge.id, edge.zone.clone()))
             .collect();
         let orders = self.drift.step(now, &ready);
         orders
             .into_iter()
-            .map(|Order { edge, life, step, why }| Command::Repair { edge, life, step, why })
+            .map(|RepairOrder { edge, life, step, why }| Command::Repair { edge, life, step, why })
             .collect()
     }
 
--- a/crates/control-plane/src/core/folding.rs
+++ b/crates/control-plane/src/core/folding.rs
@@ -11,7 +11,7 @@
     /// Folds what is committed, answers those who wait for it, and tells the edges.
     pub(super) fn fold(&mut self) {
         if let Some(data) = self.member.restored() {
-            match View::unpacked(&data) {
+            match View::from_compressed(&data) {
                 Ok(view) => self.view = view,
                 Err(problem) => {
                     event!(DiskUnusable, "the leader's snapshot: {problem}");
@@ -26,7 +26,7 @@
         let mut repairs = Vec::new();
         for entry in self.member.committed() {
             let (answer, bytes) = match entry.payload {
-                Payload::Data(bytes) => match Command::read(&bytes) {
+                Payload::Data(bytes) => match Command::from_bytes(&bytes) {
                     Ok(command) => {
                         let before = self.view.configuration().cloned();
                         let outcome = self.view.apply(entry.index, &command);
@@ -43,7 +43,9 @@
                         }
                         let answer = match outcome {
                             Outcome::Done => Answer::Done(entry.index),
-                            Outcome::Refused(kind) => Answer::Refused(kind.answer().status, kind.to_string()),
+                            Outcome::Refused(kind) => {
+                                Answer::Refused(kind.response().status, kind.to_string())
+                            }
                         };
                         (answer, Some(bytes))
                     }
@@ -62,11 +64,11 @@
             }
             for (term, waiter) in self.waiters.remove(&entry.index).unwrap_or_default() {
                 // Another leader's entry in its place: nobody can say what became of the one waited for.
-                let _ = waiter.send(if term == entry.term { answer.clone() } else { Answer::Unsure });
+                let _ = waiter.send(if term == entry.term { answer.clone() } else { Answer::Unknown });
             }
         }
         if self.member.wants_snapshot() {
-            let data = self.view.packed();
+            let data = self.view.to_compressed();
             self.member.take_snapshot(data);
         }
         let index = self.view.index;
@@ -127,7 +129,7 @@
             }
             (Command::Trust { id }, _) => event!(Suspected, "{id} takes its part again"),
             (Command::Repair { edge, step, why, .. }, _) => {
-                event!(Repairs, "{}: {}: {why}", std::net::Ipv4Addr::from_bits(*edge), step.word())
+                event!(Repairs, "{}: {}: {why}", std::net::Ipv4Addr::from_bits(*edge), step.as_str())
             }
             (Command::Settle { service, number, good }, _) => {
                 let end = if *good { "completed" } else { "reverted" };
--- a/crates/control-plane/src/core/membership.rs
+++ b/crates/control-plane/src/core/membership.rs
@@ -4,7 +4,7 @@
 use milletwing_config::event;
 use milletwing_consensus::Id;
 use milletwing_consensus::Retirement;
-use milletwing_replicated_state::registry::Verdict;
+use milletwing_replicated_state::registry::BeatAction;
 use milletwing_wire::{Answer, CoreRequest};
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -66,7 +66,7 @@
     /// Whether a machine may stop; not clear while others don't hold everything yet.
     pub(super) fn retire(&mut self, now: Time, id: Id) -> Option<oneshot::Receiver<Answer>> {
         match self.member.retire(now, id)? {
-            Retirement::MayStop => self.verdict(Verdict::Known),
+            Retirement::MayStop => self.verdict(BeatAction::Acknowledge),
             Retirement::Leaves(index) => Some(self.wait_for(self.member.term(), index)),
             Retirement::Wait => None,
         }
@@ -84,8 +84,10 @@
         };
         Core::pump(shared);
         let asks = async {
-            while !matches!(Core::order(shared, CoreRequest::Retire { id }, ASKS * 4).await, Answer::Done(_))
-            {
+            while !matches!(
+                Core::order(shared, CoreRequest::RequestStop { id }, ASKS * 4).await,
+                Answer::Done(_)
+            ) {
                 tokio::time::sleep(ASKS).await;
             }
         };
--- a/crates/control-plane/src/core/orders.rs
+++ b/crates/control-plane/src/core/orders.rs
@@ -1,12 +1,12 @@
 //! Orders and beats: decided here where this machine leads, else passed on to the leader, for as long as their callers wait.
 
 use super::{Core, Shared, Time};
-use milletwing_config::{event, Configuration, Kind};
+use milletwing_config::{event, Configuration, ErrorKind};
 use milletwing_consensus::{LogPosition, Role};
-use milletwing_replicated_state::registry::Verdict;
-use milletwing_replicated_state::view::digest;
-use milletwing_replicated_state::{Beat, Command, State, View};
-use milletwing_wire::{Answer, CoreRequest, Peer};
+use milletwing_replicated_state::registry::BeatAction;
+use milletwing_replicated_state::view::configuration_digest;
+use milletwing_replicated_state::{Beat, Command, RollOutState, View};
+use milletwing_wire::{Answer, CoreRequest, PeerMessage};
 use std::cell::Cell;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -98,7 +98,7 @@
 
 /// Services whose newest roll-out came to a bad end.
 pub(super) fn reverted_services(view: &View) -> impl Iterator<Item = String> + '_ {
-    let reverted = view.rollouts.iter().filter(|(_, roll)| roll.state == State::Reverted);
+    let reverted = view.rollouts.iter().filter(|(_, roll)| roll.state == RollOutState::Reverted);
     reverted.map(|(service, _)| service.clone())
 }
 
@@ -106,7 +106,7 @@
     /// Proposes an entry, and waits for what becomes of it.
     pub(super) fn enter(&mut self, command: &Command) -> Option<oneshot::Receiver<Answer>> {
         let now = self.now();
-        let (term, index) = self.member.propose(now, command.bytes())?;
+        let (term, index) = self.member.propose(now, command.to_bytes())?;
         Some(self.wait_for(term, index))
     }
 
@@ -115,15 +115,16 @@
         let wait = {
             let core = &mut *shared.borrow_mut();
             // Guards against a new leader that acknowledges by what it has not folded yet. A read waits for that by itself.
-            if core.member.role() != Role::Leader || (ask != CoreRequest::Read && !core.member.current()) {
-                return Answer::NotTaken;
+            if core.member.role() != Role::Leader || (ask != CoreRequest::ReadIndex && !core.member.current())
+            {
+                return Answer::NotAccepted;
             }
             core.decide(ask)
         };
         Core::pump(shared);
         match wait {
-            Some(wait) => wait.await.unwrap_or(Answer::Unsure),
-            None => Answer::NotTaken,
+            Some(wait) => wait.await.unwrap_or(Answer::Unknown),
+            None => Answer::NotAccepted,
         }
     }
 
@@ -132,37 +133,38 @@
         let now = self.now();
         match ask {
             CoreRequest::Beat { id, beat } => {
-                let verdict = self.registry.beat(now, &self.view, &id, &beat);
+                let verdict = self.registry.handle_beat(now, &self.view, &id, &beat);
                 self.verdict(verdict)
             }
             CoreRequest::Leave { id } => {
-                let verdict = self.registry.leave(&self.view, &id);
+                let verdict = self.registry.handle_leave(&self.view, &id);
                 self.verdict(verdict)
             }
             CoreRequest::Configure(command) => self.enter(&command),
             CoreRequest::RollOut { service, revision, .. }
                 if self.just_reverted(now, &service, &revision) =>
             {
-                self.verdict(Verdict::Known)
+                self.verdict(BeatAction::Acknowledge)
             }
             CoreRequest::RollOut { seen, service, revision, period_ms } => {
                 let rolling = self.view.rollouts.get(&service);
-                let same = rolling.is_some_and(|roll| roll.to == revision && roll.state == State::Active);
+                let same =
+                    rolling.is_some_and(|roll| roll.to == revision && roll.state == RollOutState::Active);
                 if !same && self.changed.service_after(&service, seen) {
-                    return Some(at_once(Answer::Outdated));
+                    return Some(at_once(Answer::Superseded));
                 }
                 self.changed.propose_service(&service, self.member.positions().1 .1 + 1);
                 self.enter(&Command::RollOut { service, revision, period_ms })
             }
             CoreRequest::Evacuate { order, seen, zone, on } => self.evacuate(now, (order, seen), zone, on),
-            CoreRequest::Read => {
+            CoreRequest::ReadIndex => {
                 self.next += 1;
                 let token = self.next;
                 let (send, wait) = oneshot::channel();
                 self.reads.insert(token, send);
                 self.member.read(now, token).then_some(wait)
             }
-            CoreRequest::Retire { id } => self.retire(now, id),
+            CoreRequest::RequestStop { id } => self.retire(now, id),
         }
     }
 
@@ -178,13 +180,13 @@
             self.orders.entered(order).filter(|(term, _)| *term == self.member.term())
         {
             if self.view.index >= index {
-                return self.verdict(Verdict::Known);
+                return self.verdict(BeatAction::Acknowledge);
             }
             return Some(self.wait_for(term, index));
         }
         // Guards against a call that was held up until a later order about this zone was acknowledged.
         if self.changed.zone_after(&zone, seen) {
-            return Some(at_once(Answer::Outdated));
+            return Some(at_once(Answer::Superseded));
         }
         let command = if on {
             let sure = self.another(now, &zone);
@@ -192,7 +194,7 @@
         } else {
             self.take_back(now, zone.clone())
         };
-        let mark = self.member.propose(now, command.bytes())?;
+        let mark = self.member.propose(now, command.to_bytes())?;
         self.changed.propose_zone(&zone, mark.1);
         self.orders.note(order, mark);
         Some(self.wait_for(mark.0, mark.1))
@@ -223,7 +225,7 @@
     /// The entry that takes a zone back.
     pub(super) fn take_back(&mut self, now: Time, zone: String) -> Command {
         if self.view.evacuated.get(&zone).is_some_and(|emptied| emptied.orders == 1) {
-            return self.registry.take_back(now, &self.view, &zone, &Core::cold_for(&self.view));
+            return self.registry.restore_zone(now, &self.view, &zone, &Core::cold_for(&self.view));
         }
         Command::Evacuate { zone, on: false, sure: false, deals: Vec::new() }
     }
@@ -253,26 +255,28 @@
     pub(super) fn just_reverted(&self, now: Time, service: &str, revision: &str) -> bool {
         let again = (self.settings.timers.guarantees.ackS * 2_000.0) as Time;
         let roll = self.view.rollouts.get(service);
-        let same = roll.is_some_and(|roll| roll.to == revision && roll.state == State::Reverted);
+        let same = roll.is_some_and(|roll| roll.to == revision && roll.state == RollOutState::Reverted);
         same && self.reverted.get(service).is_some_and(|at| now < at + again)
     }
 
-    pub(super) fn verdict(&mut self, verdict: Verdict) -> Option<oneshot::Receiver<Answer>> {
+    pub(super) fn verdict(&mut self, verdict: BeatAction) -> Option<oneshot::Receiver<Answer>> {
         match verdict {
             // Twice: the first of a service brings the version that has its traffic as well.
-            Verdict::Enter(Command::NodeUp(node)) => match self.view.admits(2 * node.weight()) {
-                Ok(()) => self.enter(&Command::NodeUp(node)),
-                Err(kind) => {
-                    event!(Refused, "{}: {kind}", node.id);
-                    Some(at_once(Answer::Refused(kind.answer().status, kind.to_string())))
+            BeatAction::Propose(Command::NodeUp(node)) => {
+                match self.view.check_admission(2 * node.max_encoded_size()) {
+                    Ok(()) => self.enter(&Command::NodeUp(node)),
+                    Err(kind) => {
+                        event!(Refused, "{}: {kind}", node.id);
+                        Some(at_once(Answer::Refused(kind.response().status, kind.to_string())))
+                    }
                 }
-            },
-            Verdict::Enter(command) => self.enter(&command),
-            Verdict::Known => Some(at_once(Answer::Done(self.view.index))),
+            }
+            BeatAction::Propose(command) => self.enter(&command),
+            BeatAction::Acknowledge => Some(at_once(Answer::Done(self.view.index))),
         }
     }
 
-    /// Has an order decided, here or by the leader, for as long as its caller waits. [`Answer::NotTaken`] is certain: nobody was
+    /// Has an order decided, here or by the leader, for as long as its caller waits. [`Answer::NotAccepted`] is certain: nobody was
     /// there to take it.
     pub async fn order(shared: &Shared, ask: CoreRequest, within: Duration) -> Answer {
         let taken = Cell::new(false);
@@ -282,7 +286,7 @@
                     // Until the answer comes it may have been proposed.
                     let before = taken.replace(true);
                     let answer = Core::lead(shared, ask.clone()).await;
-                    taken.set(before || !answer.not_taken());
+                    taken.set(before || !answer.not_applied());
                     answer
                 } else {
                     Core::pass_on(shared, ask.clone(), &taken).await
@@ -290,15 +294,17 @@
                 match answer {
                     Answer::Done(_) | Answer::Refused(..) => return answer,
                     // Unless an earlier try was taken by a leader that is gone.
-                    Answer::Outdated if !taken.get() => return answer,
-                    Answer::Unsure | Answer::NotTaken | Answer::Outdated => tokio::time::sleep(AGAIN).await,
+                    Answer::Superseded if !taken.get() => return answer,
+                    Answer::Unknown | Answer::NotAccepted | Answer::Superseded => {
+                        tokio::time::sleep(AGAIN).await
+                    }
                 }
             }
         };
         match tokio::time::timeout(within, whole).await {
             Ok(answer) => answer,
-            Err(_) if taken.get() => Answer::Unsure,
-            Err(_) => Answer::NotTaken,
+            Err(_) if taken.get() => Answer::Unknown,
+            Err(_) => Answer::NotAccepted,
         }
     }
 
@@ -307,16 +313,16 @@
         let wait = {
             let core = &mut *shared.borrow_mut();
             let Some(leader) = core.leader.filter(|leader| *leader != core.settings.id()) else {
-                return Answer::NotTaken;
+                return Answer::NotAccepted;
             };
             let (call, wait) = core.calls.begin(leader);
-            core.post(leader, &Peer::Call { call, ask });
+            core.post(leader, &PeerMessage::Call { call, ask });
             wait
         };
         let before = taken.replace(true);
         let answer = tokio::time::timeout(PASSED_ON, wait).await;
-        let answer = answer.map_or(Answer::Unsure, |answer| answer.unwrap_or(Answer::Unsure));
-        taken.set(before || !answer.not_taken());
+        let answer = answer.map_or(Answer::Unknown, |answer| answer.unwrap_or(Answer::Unknown));
+        taken.set(before || !answer.not_applied());
         answer
     }
 
@@ -328,12 +334,12 @@
             let now = core.now();
             let leads = core.member.role() == Role::Leader;
             if !leads && !core.member.fresh(now, ACKNOWLEDGES) {
-                return Answer::NotTaken;
+                return Answer::NotAccepted;
             }
             // Guards against acknowledging that one leaves of which this machine has not folded that it came.
-            let certain = beat.state != DRAINING || core.view.knows_that_it_leaves(&id);
-            let verdict = (!leads).then(|| core.registry.beat(now, &core.view, &id, &beat));
-            (verdict == Some(Verdict::Known) && certain).then_some(core.view.index)
+            let certain = beat.state != DRAINING || core.view.is_leaving(&id);
+            let verdict = (!leads).then(|| core.registry.handle_beat(now, &core.view, &id, &beat));
+            (verdict == Some(BeatAction::Acknowledge) && certain).then_some(core.view.index)
         };
         match known {
             Some(index) => Answer::Done(index),
@@ -348,24 +354,24 @@
         if_match: Option<u64>,
         body: &[u8],
         within: Duration,
-    ) -> Result<Answer, Kind> {
-        let revision = Configuration::read(body)?.revision;
-        let known = digest(body);
+    ) -> Result<Answer, ErrorKind> {
+        let revision = Configuration::parse(body)?.revision;
+        let known = configuration_digest(body);
         let end = Instant::now() + within;
         // A 412 is certain only once this machine knows what was acknowledged before the call.
         for sure in [false, true] {
             let command = {
                 let core = shared.borrow();
-                if core.view.took(revision, &known) {
+                if core.view.has_accepted(revision, &known) {
                     return Ok(Answer::Done(core.view.index));
                 }
-                let if_match = if_match.ok_or(Kind::NoMatch)?;
+                let if_match = if_match.ok_or(ErrorKind::InvalidIfMatch)?;
                 if core.view.revision == if_match {
                     // Guards against a state that no machine could read any more: before it is agreed.
-                    core.view.admits(body.len().saturating_sub(core.view.body.len()))?;
-                    Some(core.view.to_configure(revision, body)?)
+                    core.view.check_admission(body.len().saturating_sub(core.view.body.len()))?;
+                    Some(core.view.configure_command(revision, body)?)
                 } else if sure {
-                    return Err(Kind::Stale(core.view.revision));
+                    return Err(ErrorKind::RevisionMismatch(core.view.revision));
                 } else {
                     None
                 }
@@ -376,7 +382,7 @@
                 None => drop(Core::read(shared, left).await?),
             }
         }
-        Ok(Answer::NotTaken)
+        Ok(Answer::NotAccepted)
     }
 
     /// An operator's order to empty a zone, or to take it back. A call that is held up on its way and comes after a later order
@@ -394,7 +400,7 @@
         revision: String,
         period_ms: u64,
         within: Duration,
-    ) -> Result<Answer, Kind> {
+    ) -> Result<Answer, ErrorKind> {
         let end = Instant::now() + within;
         let known =
             |core: &Core| core.view.configuration().is_none_or(|it| it.targets.contains_key(&service));
@@ -402,7 +408,7 @@
             // This machine may lag: what it doesn't know yet is no reason to refuse.
             Core::read(shared, within).await?;
             if !known(&shared.borrow()) {
-                return Err(Kind::Unknown(format!("service {service}")));
+                return Err(ErrorKind::NotFound(format!("service {service}")));
             }
         }
         let ask = |seen| {
@@ -418,7 +424,7 @@
         let (begun, end) = (Instant::now(), Instant::now() + within);
         let seen = shared.borrow().view.index;
         let answer = Core::order(shared, ask(seen), within).await;
-        if answer != Answer::Outdated {
+        if answer != Answer::Superseded {
             return answer;
         }
         let Some(left) = JUST_CAME.checked_sub(begun.elapsed()) else { return answer };
@@ -429,14 +435,14 @@
     }
 
     /// Waits until everything acknowledged before this moment is folded here. Gives the last entry of it.
-    pub async fn read(shared: &Shared, within: Duration) -> Result<u64, Kind> {
+    pub async fn read(shared: &Shared, within: Duration) -> Result<u64, ErrorKind> {
         let end = Instant::now() + within;
-        let Answer::Done(index) = Core::order(shared, CoreRequest::Read, within).await else {
-            return Err(Kind::NoLeader); // reads change nothing
+        let Answer::Done(index) = Core::order(shared, CoreRequest::ReadIndex, within).await else {
+            return Err(ErrorKind::NoLeader); // reads change nothing
         };
         while shared.borrow().view.index < index {
             if Instant::now() >= end {
-                return Err(Kind::NoLeader);
+                return Err(ErrorKind::NoLeader);
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
--- a/crates/control-plane/src/core/peers.rs
+++ b/crates/control-plane/src/core/peers.rs
@@ -2,7 +2,7 @@
 
 use super::{Core, QUEUE};
 use milletwing_consensus::Id;
-use milletwing_wire::{frame, Peer};
+use milletwing_wire::{encode_frame, PeerMessage};
 use std::rc::Rc;
 use tokio::sync::{mpsc, Notify};
 
@@ -35,15 +35,15 @@
         self.next
     }
 
-    pub(super) fn post(&self, to: Id, peer: &Peer) {
+    pub(super) fn post(&self, to: Id, peer: &PeerMessage) {
         if let Some((link, _)) = self.links.get(&to) {
-            let _ = link.try_send(Rc::new(frame(peer))); // a full link drops: the agreement sends again
+            let _ = link.try_send(Rc::new(encode_frame(peer))); // a full link drops: the agreement sends again
         }
     }
 
     /// To all machines known; made once.
-    pub(super) fn post_all(&self, peer: &Peer) {
-        let bytes = Rc::new(frame(peer));
+    pub(super) fn post_all(&self, peer: &PeerMessage) {
+        let bytes = Rc::new(encode_frame(peer));
         for (link, _) in self.known.iter().filter_map(|id| self.links.get(id)) {
             let _ = link.try_send(Rc::clone(&bytes)); // a full link drops: such things are told again
         }
--- a/crates/control-plane/src/core/rollouts.rs
+++ b/crates/control-plane/src/core/rollouts.rs
@@ -2,9 +2,9 @@
 
 use super::{Core, Judged, Time};
 use milletwing_consensus::Role;
-use milletwing_replicated_state::{Command, RollOut, State};
+use milletwing_replicated_state::{Command, RollOut, RollOutState};
 use milletwing_sequential_test::{self as sequential_test, cap, latest, pace, Report, LAST};
-use milletwing_wire::Peer;
+use milletwing_wire::PeerMessage;
 
 impl Core {
     /// What follows for the trials under way.
@@ -14,7 +14,7 @@
             .view
             .rollouts
             .iter()
-            .filter(|(_, roll)| roll.state == State::Active)
+            .filter(|(_, roll)| roll.state == RollOutState::Active)
             .map(|(service, roll)| (service.clone(), roll.clone()))
             .collect();
         self.trials.retain(|number, _| active.iter().any(|(_, roll)| roll.number == *number));
@@ -68,7 +68,7 @@
     pub fn trials(&self) -> serde_json::Value {
         let rows = self.view.rollouts.iter().map(|(service, roll)| {
             let judged = self.trials.get(&roll.number).filter(|_| self.role == Role::Leader);
-            serde_json::json!({"service": service, "to": roll.to, "state": roll.state.word(), "stage": roll.stage,
+            serde_json::json!({"service": service, "to": roll.to, "state": roll.state.as_str(), "stage": roll.stage,
                 "cap": cap(roll.stage, self.settings.timers.guarantees.exposureShare),
                 "evidence": judged.map(|judged| judged.tally.tell())})
         });
@@ -85,7 +85,7 @@
                 }
             }
         } else if let Some(leader) = self.leader {
-            self.post(leader, &Peer::Reports { edge, life, reports });
+            self.post(leader, &PeerMessage::Reports { edge, life, reports });
         }
     }
 }
--- a/crates/control-plane/src/core/subscriptions.rs
+++ b/crates/control-plane/src/core/subscriptions.rs
@@ -3,7 +3,7 @@
 use super::{Core, Feed, Time, Word, FRESH};
 use milletwing_drift_detection::Step;
 use milletwing_replicated_state::EdgeStatus;
-use milletwing_wire::{frame, ToEdge};
+use milletwing_wire::{encode_frame, ToEdge};
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
@@ -15,7 +15,7 @@
         let (id, now) = (self.next, self.now());
         self.drift.checker.attach(now, edge.id, edge.life);
         self.feeds.insert(id, Feed { edge: edge.id, life: edge.life, sent: index, folded: index, send });
-        self.registry.edge(now, edge, 0);
+        self.registry.record_edge(now, edge, 0);
         self.feed(id);
         (id, queue)
     }
@@ -46,10 +46,11 @@
             let from = self.recent.partition_point(|(at, _)| *at <= feed.sent);
             let entries =
                 self.recent.iter().skip(from).map(|(at, bytes)| (*at, bytes.as_ref().clone())).collect();
-            Some(Rc::new(frame(&ToEdge::Entries(entries))))
+            Some(Rc::new(encode_frame(&ToEdge::Entries(entries))))
         } else {
             if self.whole.as_ref().is_none_or(|(at, _)| *at != index) {
-                self.whole = Some((index, Rc::new(frame(&ToEdge::Whole(self.view.packed())))));
+                self.whole =
+                    Some((index, Rc::new(encode_frame(&ToEdge::Snapshot(self.view.to_compressed())))));
             }
             None
         };
@@ -67,7 +68,7 @@
     pub(super) fn pulse(&mut self, now: Time) {
         let loads = self.board.news(now);
         self.drift.reflect(now, &self.view);
-        let bytes = Rc::new(frame(&self.pulsed(now, loads)));
+        let bytes = Rc::new(encode_frame(&self.pulsed(now, loads)));
         for feed in self.feeds.values() {
             if feed.send.capacity() == feed.send.max_capacity() {
                 let _ = feed.send.try_send((Some(now), Rc::clone(&bytes)));
@@ -81,8 +82,8 @@
             cores.push(self.settings.id());
         }
         let fresh = self.member.fresh(now, FRESH) && !self.member.lost() && !self.drift.odd(now);
-        let edges = self.registry.ready(now).len() as u32;
-        ToEdge::Pulse { fresh, index: self.view.index, cores, edges, loads }
+        let edges = self.registry.ready_edges(now).len() as u32;
+        ToEdge::Heartbeat { fresh, index: self.view.index, cores, edges, loads }
     }
 
     /// A step that was agreed, for an edge that this machine tells.
@@ -94,13 +95,13 @@
             Step::Again => feed.sent = feed.folded.min(feed.sent),
             Step::Renew => {
                 feed.sent = self.view.index;
-                let whole = ToEdge::Renew(self.view.packed());
-                if feed.send.try_send((None, Rc::new(frame(&whole)))).is_err() {
+                let whole = ToEdge::Rebuild(self.view.to_compressed());
+                if feed.send.try_send((None, Rc::new(encode_frame(&whole)))).is_err() {
                     self.feeds.remove(&id); // it takes nothing: it will dial anew
                 }
             }
             Step::Back | Step::Rest | Step::End => {
-                let _ = feed.send.try_send((None, Rc::new(frame(&ToEdge::Repair(step)))));
+                let _ = feed.send.try_send((None, Rc::new(encode_frame(&ToEdge::Repair(step)))));
                 // the next step is due if it is lost
             }
         }
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -23,7 +23,7 @@
 /// Whether what a file holds hangs together, down to the state in it.
 fn sound(stored: &Stored) -> Result<(), String> {
     let found = milletwing_consensus::inspect(stored)?;
-    View::unpacked(&found.data).map(drop)
+    View::from_compressed(&found.data).map(drop)
 }
 
 /// Opens the machine's file, for as long as its disk refuses; without a `stateDir` it lives in memory, and each start is that of
--- a/crates/control-plane/src/drift.rs
+++ b/crates/control-plane/src/drift.rs
@@ -3,7 +3,7 @@
 use milletwing_config::{event, Configuration};
 use milletwing_consensus::Id;
 use milletwing_drift_detection::{
-    Checker, Digest, Finding, Names, Order, Part, Reflection, Repairer, Sample,
+    Checker, Digest, Finding, LeafHashes, Part, RepairOrder, Repairer, Sample, TableDigest,
 };
 use milletwing_replicated_state::View;
 use milletwing_routing::intent;
@@ -71,20 +71,20 @@
 
     /// Makes this machine's own digest as of the last entry folded, unless that is there.
     pub fn reflect(&mut self, now: Time, view: &View) {
-        if view.index == 0 || self.checker.index() == Some(view.index) {
+        if view.index == 0 || self.checker.last_index() == Some(view.index) {
             return;
         }
         self.follow(view);
         let mut digest = Digest::default();
         self.table.1.reflect(&mut digest);
         intent::core(view, &mut digest);
-        self.checker.own(now, view.index, digest);
+        self.checker.record_core_digest(now, view.index, digest);
     }
 
     /// The newest own digest.
     pub fn own(&self) -> Option<(u64, Digest)> {
-        let index = self.checker.index()?;
-        self.checker.kept(index).map(|digest| (index, *digest))
+        let index = self.checker.last_index()?;
+        self.checker.core_digest(index).map(|digest| (index, *digest))
     }
 
     /// What an edge's beat shows.
@@ -93,29 +93,29 @@
         now: Time,
         view: &View,
         (edge, index): (u32, u64),
-        reflection: Option<Reflection>,
+        table_digest: Option<TableDigest>,
         sample: Option<Sample>,
         fresh: bool,
     ) -> Vec<Finding> {
         let mut out = Vec::new();
-        out.extend(self.checker.heard(now, edge, index, fresh));
-        if let Some(reflection) = &reflection {
-            let wanted = self.checker.kept(reflection.index).copied().map(|mut wanted| {
-                if reflection.index != view.index {
+        out.extend(self.checker.record_heartbeat(now, edge, index, fresh));
+        if let Some(table_digest) = &table_digest {
+            let wanted = self.checker.core_digest(table_digest.index).copied().map(|mut wanted| {
+                if table_digest.index != view.index {
                     // Who may send what to a cold marshal is known as of the last entry only.
-                    return wanted.like(&reflection.digest, Part::Deals);
+                    return wanted.with_part_of(&table_digest.digest, Part::Deals);
                 }
                 intent::deals(view, edge, &mut wanted);
                 wanted
             });
-            out.push(self.checker.check(now, edge, reflection, wanted, fresh));
+            out.push(self.checker.check(now, edge, table_digest, wanted, fresh));
         }
         if let Some(sample) = sample {
             // By another configuration than the one in force here it was right, or wrong, in its own time.
             let as_of = sample.revision == view.revision;
             let found = if as_of { self.decide(view, &sample) } else { None };
             if let Some(what) = &found {
-                out.push(Finding::Contradicts(what.clone()));
+                out.push(Finding::Contradiction(what.clone()));
             }
             let found =
                 found.unwrap_or_else(|| if as_of { "as agreed".into() } else { "not checked".into() });
@@ -150,26 +150,26 @@
     }
 
     /// What differs between what an edge routes by and what was agreed, by name.
-    pub fn compare(&mut self, view: &View, edge: u32, names: &Names) -> Vec<String> {
+    pub fn compare(&mut self, view: &View, edge: u32, names: &LeafHashes) -> Vec<String> {
         self.follow(view);
-        let mut wanted = Names::default();
+        let mut wanted = LeafHashes::default();
         self.table.1.reflect(&mut wanted);
         intent::core(view, &mut wanted);
         intent::deals(view, edge, &mut wanted);
-        wanted.against(names, NAMED)
+        wanted.differences(names, NAMED)
     }
 
     /// What the leader does next; edges that drift or are well again are told to operators.
-    pub fn step(&mut self, now: Time, ready: &[(u32, String)]) -> Vec<Order> {
-        let orders = self.repairer.step(now, ready);
+    pub fn step(&mut self, now: Time, ready: &[(u32, String)]) -> Vec<RepairOrder> {
+        let orders = self.repairer.next_orders(now, ready);
         let mut drifted = BTreeSet::new();
         for (edge, standing) in self.repairer.edges() {
             if standing.since.is_none() {
                 continue;
             }
             drifted.insert(edge);
-            let word = standing.finding.word();
-            if standing.finding.drift() && self.named.get(&edge) != Some(&word) {
+            let word = standing.finding.describe();
+            if standing.finding.is_drift() && self.named.get(&edge) != Some(&word) {
                 event!(Drifted, "{} in {}: {word}", Ipv4Addr::from_bits(edge), standing.zone);
                 self.named.insert(edge, word);
             }
@@ -181,17 +181,17 @@
             }
             still
         });
-        if self.repairer.alarm && !self.doubt {
+        if self.repairer.most_drifted && !self.doubt {
             event!(AllDrift, "{} edges", drifted.len());
         }
-        self.doubt = self.repairer.alarm;
+        self.doubt = self.repairer.most_drifted;
         orders
     }
 
     /// Another machine of the core has this digest as of an entry. Whether it is news that it differs from this one's.
     pub fn view_digest(&mut self, now: Time, from: Id, index: u64, digest: &Digest) -> bool {
-        let Some(own) = self.checker.kept(index) else { return false };
-        let same = own.differs(digest).is_empty();
+        let Some(own) = self.checker.core_digest(index) else { return false };
+        let same = own.differing_parts(digest).is_empty();
         let before = self.others.insert(from, (now, same));
         !same && before.is_none_or(|(_, same)| same)
     }
@@ -210,16 +210,16 @@
             let standing = known.get(edge);
             let found = standing.filter(|it| now.saturating_sub(it.at) < 4_000 && *silent < 4_000);
             // Out of touch is unknown, not well.
-            let state = found.map_or("unknown".to_owned(), |it| it.finding.word());
+            let state = found.map_or("unknown".to_owned(), |it| it.finding.describe());
             json!({"edge": Ipv4Addr::from_bits(*edge).to_string(), "zone": zone, "state": state, "silentMs": silent,
                 "driftedMs": standing.and_then(|it| it.since).map(|since| now.saturating_sub(since)),
-                "step": standing.and_then(|it| it.step).map(|(step, _)| step.word())})
+                "step": standing.and_then(|it| it.step).map(|(step, _)| step.as_str())})
         });
         let repairs = view.repairs.iter().map(|repair| {
-            json!({"entry": repair.index, "edge": Ipv4Addr::from_bits(repair.edge).to_string(), "step": repair.step.word(),
+            json!({"entry": repair.index, "edge": Ipv4Addr::from_bits(repair.edge).to_string(), "step": repair.step.as_str(),
                 "why": repair.why})
         });
-        json!({"edges": edges.collect::<Vec<_>>(), "repairs": repairs.collect::<Vec<_>>(), "allInDoubt": self.repairer.alarm,
+        json!({"edges": edges.collect::<Vec<_>>(), "repairs": repairs.collect::<Vec<_>>(), "allInDoubt": self.repairer.most_drifted,
             "digestsChecked": self.checker.checked, "digestsThatDiffered": self.checker.differed,
             "decisionsChecked": self.decided.0, "decisionsThatDiffered": self.decided.1})
     }
--- a/crates/control-plane/src/feeds.rs
+++ b/crates/control-plane/src/feeds.rs
@@ -22,12 +22,12 @@
     let hearing = Rc::clone(&core);
     let hears = tokio::task::spawn_local(async move {
         while let Ok(Ok(up)) =
-            tokio::time::timeout(Duration::from_secs(3), wire::read::<FromEdge>(&mut read)).await
+            tokio::time::timeout(Duration::from_secs(3), wire::read_frame::<FromEdge>(&mut read)).await
         {
             let core = &mut *hearing.borrow_mut();
             match up {
-                FromEdge::Beat(said) => core.beaten(id, *said),
-                FromEdge::Names(names) => core.named(id, &names),
+                FromEdge::Report(said) => core.beaten(id, *said),
+                FromEdge::LeafHashes(names) => core.named(id, &names),
             }
         }
         hearing.borrow_mut().detach(id);
@@ -37,7 +37,7 @@
         if made.is_some_and(|made| core.borrow().now() > made + LATE) {
             continue;
         }
-        if !core.borrow().attached(id) || wire::write(&mut write, &bytes).await.is_err() {
+        if !core.borrow().attached(id) || wire::write_frame(&mut write, &bytes).await.is_err() {
             break;
         }
     }
--- a/crates/control-plane/src/front.rs
+++ b/crates/control-plane/src/front.rs
@@ -9,8 +9,8 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use milletwing_config::{event, Configuration, Kind};
-use milletwing_replicated_state::view::MOST_BODY;
+use milletwing_config::{event, Configuration, ErrorKind};
+use milletwing_replicated_state::view::MAX_CONFIGURATION_BYTES;
 use milletwing_replicated_state::Beat;
 use milletwing_wire::{Answer, CoreRequest};
 use serde::Deserialize;
@@ -81,7 +81,7 @@
                 continue;
             }
         };
-        let _ = milletwing_wire::groom(&stream, Duration::from_secs(5));
+        let _ = milletwing_wire::configure_stream(&stream, Duration::from_secs(5));
         let (core, open) = (Rc::clone(&core), Rc::clone(&open));
         open.count.set(open.count() + 1);
         tokio::task::spawn_local(async move {
@@ -124,8 +124,8 @@
     reply
 }
 
-fn refused(kind: &Kind) -> Reply {
-    refuse(kind.answer().status, &kind.to_string())
+fn refused(kind: &ErrorKind) -> Reply {
+    refuse(kind.response().status, &kind.to_string())
 }
 
 /// An order's end as its caller sees it.
@@ -133,25 +133,25 @@
     match answer {
         Answer::Done(_) => reply(200, "{}"),
         Answer::Refused(status, why) => refuse(status, &why),
-        Answer::Unsure => refused(&Kind::Uncertain),
-        Answer::NotTaken => refused(&Kind::NoLeader),
-        Answer::Outdated => refused(&Kind::Outdated),
+        Answer::Unknown => refused(&ErrorKind::OutcomeUnknown),
+        Answer::NotAccepted => refused(&ErrorKind::NoLeader),
+        Answer::Superseded => refused(&ErrorKind::Superseded),
     }
 }
 
-async fn body(request: Request<Incoming>, most: usize) -> Result<Bytes, Kind> {
+async fn body(request: Request<Incoming>, most: usize) -> Result<Bytes, ErrorKind> {
     // What says that it is too long is refused before it is taken.
     if request.body().size_hint().lower() > most as u64 {
-        return Err(Kind::BodyTooLarge);
+        return Err(ErrorKind::BodyTooLarge);
     }
     let read = Limited::new(request.into_body(), most).collect();
     let read = tokio::time::timeout(Duration::from_secs(5), read).await;
     match read {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(problem)) if problem.is::<LengthLimitError>() => Err(Kind::BodyTooLarge),
-        Ok(Err(problem)) => Err(Kind::Unreadable(problem.to_string())),
+        Ok(Err(problem)) if problem.is::<LengthLimitError>() => Err(ErrorKind::BodyTooLarge),
+        Ok(Err(problem)) => Err(ErrorKind::Unreadable(problem.to_string())),
         // Not 400, which would end the call for good: a narrow link is no fault of its caller's.
-        Err(_) => Err(Kind::Slow),
+        Err(_) => Err(ErrorKind::BodyTimeout),
     }
 }
 
@@ -163,7 +163,7 @@
 
 async fn answer(core: Shared, request: Request<Incoming>) -> Reply {
     let path = request.uri().path().to_owned();
-    let Some(rest) = path.strip_prefix("/milletwing/") else { return refused(&Kind::NoPath) };
+    let Some(rest) = path.strip_prefix("/milletwing/") else { return refused(&ErrorKind::UnknownPath) };
     let parts: Vec<&str> = rest.split('/').collect();
     let method = request.method().clone();
     let result = match (&method, parts.as_slice()) {
@@ -193,7 +193,7 @@
 }
 
 /// A path that exists under another method, or not at all.
-fn other_method(parts: &[&str]) -> Kind {
+fn other_method(parts: &[&str]) -> ErrorKind {
     let fits = |path: &str| {
         let known: Vec<&str> = path.trim_start_matches("/milletwing/").split('/').collect();
         known.len() == parts.len()
@@ -203,21 +203,21 @@
                 .all(|(known, part)| known == part || (known.starts_with('{') && !part.is_empty()))
     };
     if ROUTES.iter().any(|(_, path)| fits(path)) {
-        Kind::NoMethod
+        ErrorKind::MethodNotAllowed
     } else {
-        Kind::NoPath
+        ErrorKind::UnknownPath
     }
 }
 
-async fn beat(core: &Shared, id: &str, request: Request<Incoming>) -> Result<Reply, Kind> {
+async fn beat(core: &Shared, id: &str, request: Request<Incoming>) -> Result<Reply, ErrorKind> {
     if id.len() > 128 {
-        return Err(Kind::BadBeat("the id is over 128 bytes".into()));
+        return Err(ErrorKind::InvalidBeat("the id is over 128 bytes".into()));
     }
-    let beat = Beat::read(&body(request, 16 << 10).await?)?;
+    let beat = Beat::parse(&body(request, 16 << 10).await?)?;
     Ok(ended(Core::beat(core, id.into(), beat, WITHIN).await))
 }
 
-async fn leave(core: &Shared, id: &str) -> Result<Reply, Kind> {
+async fn leave(core: &Shared, id: &str) -> Result<Reply, ErrorKind> {
     Ok(ended(Core::order(core, CoreRequest::Leave { id: id.into() }, WITHIN).await))
 }
 
@@ -231,15 +231,15 @@
     reply(200, json!({ "index": core.view.index, "nodes": nodes.collect::<Vec<_>>() }).to_string())
 }
 
-async fn configure(core: &Shared, request: Request<Incoming>) -> Result<Reply, Kind> {
+async fn configure(core: &Shared, request: Request<Incoming>) -> Result<Reply, ErrorKind> {
     let given = request.headers().get("if-match").and_then(|value| value.to_str().ok());
     let if_match: Option<u64> = given.and_then(|value| value.trim().trim_matches('"').parse().ok());
-    let body = body(request, MOST_BODY).await?;
+    let body = body(request, MAX_CONFIGURATION_BYTES).await?;
     let within = if body.len() > 64 << 10 { WITHIN_LARGE } else { WITHIN };
     let answer = Core::configure(core, if_match, &body, within).await;
     match &answer {
         Ok(Answer::Done(_)) => warn_of_unread(&body),
-        Ok(Answer::Refused(..) | Answer::NotTaken | Answer::Unsure | Answer::Outdated) => {} // what is agreed is noted as it is folded
+        Ok(Answer::Refused(..) | Answer::NotAccepted | Answer::Unknown | Answer::Superseded) => {} // what is agreed is noted as it is folded
         Err(kind) => event!(Refused, "configuration on {if_match:?}: {kind}"),
     }
     answer.map(ended)
@@ -247,18 +247,18 @@
 
 /// Says which fields of a configuration that was taken are passed over.
 fn warn_of_unread(body: &[u8]) {
-    let fields = Configuration::passed_over(body).unwrap_or_default(); // it was read before it was taken
+    let fields = Configuration::ignored_fields(body).unwrap_or_default(); // it was read before it was taken
     if !fields.is_empty() {
         let fields: Vec<String> = fields.into_iter().collect();
         event!(PassedOver, "{}", fields.join(", "));
     }
 }
 
-async fn configuration(core: &Shared) -> Result<Reply, Kind> {
+async fn configuration(core: &Shared) -> Result<Reply, ErrorKind> {
     Core::read(core, WITHIN).await?;
     let core = core.borrow();
     if core.view.revision == 0 {
-        return Err(Kind::Unknown("configuration".into()));
+        return Err(ErrorKind::NotFound("configuration".into()));
     }
     Ok(reply(200, core.view.body.as_ref().clone()))
 }
@@ -272,29 +272,32 @@
     period_s: f64,
 }
 
-async fn roll_out(core: &Shared, request: Request<Incoming>) -> Result<Reply, Kind> {
+async fn roll_out(core: &Shared, request: Request<Incoming>) -> Result<Reply, ErrorKind> {
     let body = body(request, 16 << 10).await?;
-    let order: Order = serde_json::from_slice(&body).map_err(|why| Kind::Unreadable(why.to_string()))?;
+    let order: Order = serde_json::from_slice(&body).map_err(|why| ErrorKind::Unreadable(why.to_string()))?;
     let period_ms = (order.period_s.clamp(0.0, 86_400.0) * 1000.0) as u64;
     Core::rollout(core, order.target, order.target_revision, period_ms, WITHIN).await.map(ended)
 }
 
-async fn rollout(core: &Shared, service: &str) -> Result<Reply, Kind> {
+async fn rollout(core: &Shared, service: &str) -> Result<Reply, ErrorKind> {
     Core::read(core, WITHIN).await?;
     let core = core.borrow();
-    let roll =
-        core.view.rollouts.get(service).ok_or_else(|| Kind::Unknown(format!("roll-out of {service}")))?;
-    Ok(reply(200, json!({ "state": roll.state.word(), "targetRevision": roll.to }).to_string()))
+    let roll = core
+        .view
+        .rollouts
+        .get(service)
+        .ok_or_else(|| ErrorKind::NotFound(format!("roll-out of {service}")))?;
+    Ok(reply(200, json!({ "state": roll.state.as_str(), "targetRevision": roll.to }).to_string()))
 }
 
-async fn evacuate(core: &Shared, zone: &str, on: bool) -> Result<Reply, Kind> {
+async fn evacuate(core: &Shared, zone: &str, on: bool) -> Result<Reply, ErrorKind> {
     let known = {
         let core = core.borrow();
         core.settings.network.zones.contains_key(zone)
             || core.view.nodes.values().any(|node| node.zone == zone)
     };
     if !known {
-        return Err(Kind::Unknown(format!("zone {zone}")));
+        return Err(ErrorKind::NotFound(format!("zone {zone}")));
     }
     Ok(ended(Core::evacuation(core, zone, on, WITHIN).await))
 }
@@ -316,7 +319,7 @@
     let leader = core.member.leader().filter(|leader| *leader != core.settings.id());
     match (leader, core.settings.binding("controlPlane")) {
         (Some(leader), Ok(own)) => {
-            let place = milletwing_wire::place(leader, own.port());
+            let place = milletwing_wire::internal_address(leader, own.port());
             let mut reply = reply(307, known.to_string());
             if let Ok(place) = HeaderValue::from_str(&format!("http://{place}/milletwing/{what}")) {
                 reply.headers_mut().insert(LOCATION, place);
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -46,7 +46,7 @@
         opened = disk::open(&settings) => opened?,
         _ = leave.as_mut() => return Ok(()),
     };
-    let inner = milletwing_wire::place(settings.id(), settings.network.internal_ports.0);
+    let inner = milletwing_wire::internal_address(settings.id(), settings.network.internal_ports.0);
     let inner = bind("internal", inner).await?;
     let control = bind("controlPlane", settings.binding("controlPlane")?).await?;
     let directory = match settings.network.bindings.get("directoryPort") {
--- a/crates/control-plane/src/links.rs
+++ b/crates/control-plane/src/links.rs
@@ -2,7 +2,7 @@
 
 use crate::core::{Core, Shared};
 use milletwing_consensus::Id;
-use milletwing_wire::{self as wire, frame, Greeting, Peer};
+use milletwing_wire::{self as wire, encode_frame, Greeting, PeerMessage};
 use std::collections::HashSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -40,16 +40,16 @@
     let (mut queue, up) = core.borrow_mut().link(to);
     loop {
         let dialled = tokio::select! {
-            dialled = wire::dial(wire::place(to, port), DIAL) => dialled,
+            dialled = wire::connect(wire::internal_address(to, port), DIAL) => dialled,
             // It has dialled us: what we sent before it had power is lost.
             _ = up.notified() => continue,
         };
         if let Ok(stream) = dialled {
-            let _ = wire::groom(&stream, PATIENCE);
+            let _ = wire::configure_stream(&stream, PATIENCE);
             let mut stream = BufWriter::new(stream);
-            if wire::write(&mut stream, &frame(&Greeting::Core(own))).await.is_ok() {
+            if wire::write_frame(&mut stream, &encode_frame(&Greeting::Core(own))).await.is_ok() {
                 while let Some(bytes) = queue.recv().await {
-                    if wire::write(&mut stream, &bytes).await.is_err() {
+                    if wire::write_frame(&mut stream, &bytes).await.is_err() {
                         break;
                     }
                 }
@@ -80,17 +80,17 @@
 }
 
 async fn welcome(core: Shared, stream: TcpStream) -> Result<(), std::io::Error> {
-    wire::groom(&stream, PATIENCE)?;
+    wire::configure_stream(&stream, PATIENCE)?;
     let (read, write) = stream.into_split();
     let mut read = BufReader::with_capacity(4096, read);
-    let greeting = tokio::time::timeout(Duration::from_secs(2), wire::read(&mut read));
+    let greeting = tokio::time::timeout(Duration::from_secs(2), wire::read_frame(&mut read));
     match greeting.await.map_err(|_| std::io::ErrorKind::TimedOut)?? {
         Greeting::Core(id) => {
             let connection = core.borrow_mut().dialled_by(id);
             // Silence of a machine that can't say so ends the connection: its calls come ten times a second or its
             // knowledge twice.
             while let Ok(peer) =
-                tokio::time::timeout(Duration::from_secs(5), wire::read::<Peer>(&mut read)).await
+                tokio::time::timeout(Duration::from_secs(5), wire::read_frame::<PeerMessage>(&mut read)).await
             {
                 if !Core::heard(&core, id, connection, peer?) {
                     break;
--- a/crates/control-plane/src/metrics_page.rs
+++ b/crates/control-plane/src/metrics_page.rs
@@ -20,13 +20,21 @@
         "Calls of marshals, operators and clients by resource and status",
         calls.iter().map(|((resource, status), count)| (label(resource, status), *count)),
     );
-    page.seconds("disk_wait", "From handing out a batch to its being on the disk", &core.metrics.disk_waits);
+    page.duration_histogram(
+        "disk_wait",
+        "From handing out a batch to its being on the disk",
+        &core.metrics.disk_waits,
+    );
     page.gauge("connections", "Open connections of callers", open.count() as f64);
     consensus(&mut page, core, now);
     let view = &core.view;
     page.gauge("folded_index", "Last entry of the log that is folded", view.index as f64);
     page.gauge("configuration_revision", "Version of the configuration in force", view.revision as f64);
-    page.gauge("state_bytes", "Upper bound of the bytes of the replicated state", view.weight() as f64);
+    page.gauge(
+        "state_bytes",
+        "Upper bound of the bytes of the replicated state",
+        view.max_encoded_size() as f64,
+    );
     page.gauge("evacuated_zones", "Zones that are emptied", view.evacuated.len() as f64);
     let mut phases = BTreeMap::from([("warm", 0_u64), ("cold", 0), ("draining", 0), ("ejected", 0)]);
     for node in view.nodes.values() {
@@ -40,9 +48,9 @@
     }
     let phases = phases.into_iter().map(|(phase, count)| (vec![("phase", phase.to_owned())], count as f64));
     page.gauges("marshals", "Marshals that are known, by phase", phases);
-    page.gauge("edges_ready", "Edges that take traffic", core.registry.ready(now).len() as f64);
+    page.gauge("edges_ready", "Edges that take traffic", core.registry.ready_edges(now).len() as f64);
     page.resident_memory();
-    page.text()
+    page.render()
 }
 
 fn consensus(page: &mut Page, core: &Core, now: u64) {
--- a/crates/control-plane/tests/bounds.rs
+++ b/crates/control-plane/tests/bounds.rs
@@ -7,7 +7,7 @@
 use machines::{ms, Net, World, MACHINES};
 use milletwing_consensus::Role;
 use milletwing_control_plane::core::{Core, Shared};
-use milletwing_replicated_state::view::MOST_ADMITTED;
+use milletwing_replicated_state::view::MAX_ADMITTED_BYTES;
 use milletwing_replicated_state::{Beat, View};
 use milletwing_wire::Answer;
 use std::future::Future;
@@ -39,13 +39,13 @@
         r#"{{"target":"s","address":"{address}","zone":"a","revision":"{}","capacity":4,"state":"available","callCounter":1}}"#,
         "v".repeat(size)
     );
-    Beat::read(body.as_bytes()).unwrap()
+    Beat::parse(body.as_bytes()).unwrap()
 }
 
 #[test]
 fn a_state_that_no_machine_could_read_is_refused_before_it_is_agreed() {
     // Two of them are beyond the bound, as is one with a configuration of some megabytes.
-    const SIZE: usize = MOST_ADMITTED * 2 / 5;
+    const SIZE: usize = MAX_ADMITTED_BYTES * 2 / 5;
     run(async {
         let net = World::new(7);
         (1..=MACHINES).for_each(|at| net.start(at));
@@ -60,13 +60,13 @@
         let text =
             format!(r#"{{"revision":1,"routing":{{}},"targets":{{}},"note":"{}"}}"#, "x".repeat(3 << 20));
         let told = Core::configure(&core, Some(0), text.as_bytes(), ms(3_000)).await.unwrap_err();
-        assert_eq!(told.answer().status, 413);
+        assert_eq!(told.response().status, 413);
         // A small one still has room, and every machine reads what stands.
         let small = br#"{"revision":1,"routing":{},"targets":{}}"#;
         let taken = Core::configure(&core, Some(0), small, ms(3_000)).await.unwrap();
         assert!(matches!(taken, Answer::Done(_)), "{taken:?}");
         let view = core.borrow().view.clone();
-        assert!(View::unpacked(&view.packed()).is_ok());
-        assert!(view.weight() >= view.bytes().len(), "the weight is no bound of the bytes");
+        assert!(View::from_compressed(&view.to_compressed()).is_ok());
+        assert!(view.max_encoded_size() >= view.to_bytes().len(), "the weight is no bound of the bytes");
     });
 }
--- a/crates/control-plane/tests/calls.rs
+++ b/crates/control-plane/tests/calls.rs
@@ -3,7 +3,7 @@
 use milletwing_config::Settings;
 use milletwing_control_plane::calls::Calls;
 use milletwing_control_plane::core::{Core, Writes};
-use milletwing_wire::{Answer, Peer};
+use milletwing_wire::{Answer, PeerMessage};
 
 const LEADER: u32 = 1;
 const OTHER: u32 = 2;
@@ -45,10 +45,10 @@
         [network]\ninternalPorts = [7540, 7555]\nseedList = [\"10.0.0.1:8544\", \"10.0.0.2:8544\"]\n";
     let (send, _batches) = std::sync::mpsc::sync_channel(1);
     let writes = Writes { stored: Default::default(), send };
-    let core = Core::start(Settings::read(text).unwrap(), writes, 1).unwrap();
+    let core = Core::start(Settings::parse(text).unwrap(), writes, 1).unwrap();
     let earlier = core.borrow_mut().dialled_by(OTHER);
-    assert!(Core::heard(&core, OTHER, earlier, Peer::Join));
+    assert!(Core::heard(&core, OTHER, earlier, PeerMessage::Join));
     let newer = core.borrow_mut().dialled_by(OTHER);
-    assert!(!Core::heard(&core, OTHER, earlier, Peer::Join), "an earlier life's word");
-    assert!(Core::heard(&core, OTHER, newer, Peer::Join));
+    assert!(!Core::heard(&core, OTHER, earlier, PeerMessage::Join), "an earlier life's word");
+    assert!(Core::heard(&core, OTHER, newer, PeerMessage::Join));
 }
--- a/crates/control-plane/tests/catch_up.rs
+++ b/crates/control-plane/tests/catch_up.rs
@@ -57,7 +57,7 @@
         sleep(ms(5)).await;
         assert!(begun.elapsed() < ms(120_000), "it never catches up");
     }
-    let state = net.core(3).map_or(0, |core| core.borrow().view.packed().len());
+    let state = net.core(3).map_or(0, |core| core.borrow().view.to_compressed().len());
     (begun.elapsed().as_millis() as u64, state as u64)
 }
 
--- a/crates/control-plane/tests/control.rs
+++ b/crates/control-plane/tests/control.rs
@@ -14,7 +14,7 @@
 use machines::{ms, Net, World, MACHINES};
 use milletwing_consensus::Role;
 use milletwing_control_plane::core::Core;
-use milletwing_replicated_state::view::digest;
+use milletwing_replicated_state::view::configuration_digest;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -122,7 +122,7 @@
     let core = core.borrow();
     assert_eq!(core.view.evacuated.len(), 0, "a zone that was taken back stays empty");
     let history: &History = &callers.history.borrow();
-    history.judge(|version| core.view.took(version.0, &digest(&body(*version))));
+    history.judge(|version| core.view.has_accepted(version.0, &configuration_digest(&body(*version))));
     let last =
         history.changes.iter().filter(|it| it.outcome == Outcome::Acknowledged).map(|it| it.version.0).max();
     assert!(version(&core.view).map_or(0, |version| version.0) >= last.unwrap_or(0));
--- a/crates/control-plane/tests/control/callers.rs
+++ b/crates/control-plane/tests/control/callers.rs
@@ -3,9 +3,9 @@
 
 use crate::history::{Change, History, Outcome, Read, Version};
 use crate::machines::{id, ms, Net, MACHINES};
-use milletwing_config::Kind;
+use milletwing_config::ErrorKind;
 use milletwing_control_plane::core::Core;
-use milletwing_replicated_state::view::digest;
+use milletwing_replicated_state::view::configuration_digest;
 use milletwing_replicated_state::{Beat, Command, EdgeStatus, Phase, View};
 use milletwing_wire::{self as wire, Answer, CoreRequest, ToEdge};
 use std::cell::{Cell, RefCell};
@@ -56,12 +56,12 @@
     Some((configuration.revision, configuration.thresholds.as_ref()?.idle_guard_s as u64))
 }
 
-fn outcome(answer: Result<Answer, Kind>) -> Outcome {
+fn outcome(answer: Result<Answer, ErrorKind>) -> Outcome {
     match answer {
         Ok(Answer::Done(_)) => Outcome::Acknowledged,
         Ok(Answer::Refused(..)) => Outcome::Refused,
-        Ok(Answer::Unsure | Answer::NotTaken | Answer::Outdated) => Outcome::Unknown,
-        Err(kind) if kind.answer().status < 500 => Outcome::Refused,
+        Ok(Answer::Unknown | Answer::NotAccepted | Answer::Superseded) => Outcome::Unknown,
+        Err(kind) if kind.response().status < 500 => Outcome::Refused,
         Err(_) => Outcome::Unknown,
     }
 }
@@ -255,7 +255,7 @@
             let (feed, mut queue) = core.borrow_mut().attach(edge, view.index);
             let until = Instant::now() + ms(self.net.draw(300..4_000));
             while let Ok(Some((_, bytes))) = tokio::time::timeout_at(until, queue.recv()).await {
-                let down = wire::read::<ToEdge>(&mut bytes.as_slice()).await.unwrap();
+                let down = wire::read_frame::<ToEdge>(&mut bytes.as_slice()).await.unwrap();
                 self.follow(&mut view, down);
             }
             core.borrow_mut().detach(feed);
@@ -265,8 +265,8 @@
     /// As the edge's program folds it.
     fn follow(&self, view: &mut View, down: ToEdge) {
         match down {
-            ToEdge::Whole(packed) | ToEdge::Renew(packed) => {
-                let whole = View::unpacked(&packed).unwrap();
+            ToEdge::Snapshot(packed) | ToEdge::Rebuild(packed) => {
+                let whole = View::from_compressed(&packed).unwrap();
                 if whole.index > view.index {
                     *view = whole;
                 }
@@ -275,10 +275,10 @@
                 for (index, bytes) in
                     entries.into_iter().filter(|(index, _)| *index > view.index).collect::<Vec<_>>()
                 {
-                    view.apply(index, &Command::read(&bytes).unwrap());
+                    view.apply(index, &Command::from_bytes(&bytes).unwrap());
                 }
             }
-            ToEdge::Pulse { index, .. } if index > view.index => view.index = index,
+            ToEdge::Heartbeat { index, .. } if index > view.index => view.index = index,
             _ => {}
         }
         self.same(view);
@@ -286,7 +286,7 @@
 
     /// The same entries make the same state everywhere.
     pub fn same(&self, view: &View) {
-        let state = digest(&view.packed());
+        let state = configuration_digest(&view.to_compressed());
         let known = *self.states.borrow_mut().entry(view.index).or_insert(state);
         assert_eq!(known, state, "two states as of entry {}", view.index);
     }
--- a/crates/control-plane/tests/control/machines.rs
+++ b/crates/control-plane/tests/control/machines.rs
@@ -5,7 +5,7 @@
 use milletwing_consensus::Batch;
 use milletwing_control_plane::core::{ticks, Core, Shared, Writes};
 use milletwing_storage::LogStore;
-use milletwing_wire::{self as wire, Peer};
+use milletwing_wire::{self as wire, PeerMessage};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -38,7 +38,7 @@
          [network]\ninternalPorts = [7540, 7555]\nseedList = [{}]\n[network.zones]\na = \"north\"\nb = \"north\"\n",
         seeds.join(", ")
     );
-    Settings::read(&text).unwrap()
+    Settings::parse(&text).unwrap()
 }
 
 /// A process of the core.
@@ -149,7 +149,7 @@
                     None if lives => peer.borrow_mut().dialled_by(id(from)),
                     None => continue,
                 };
-                let message = wire::read::<Peer>(&mut bytes.as_slice()).await.unwrap();
+                let message = wire::read_frame::<PeerMessage>(&mut bytes.as_slice()).await.unwrap();
                 let current = Core::heard(&peer, id(from), connection, message);
                 dialled = current.then_some((peer, connection));
             }
--- a/crates/control-plane/tests/detection.rs
+++ b/crates/control-plane/tests/detection.rs
@@ -73,7 +73,7 @@
 
 fn marshal() -> Beat {
     let text = br#"{"target":"s","address":"10.1.0.1:80","zone":"a","revision":"v1","capacity":4,"state":"available","callCounter":1}"#;
-    Beat::read(text).unwrap()
+    Beat::parse(text).unwrap()
 }
 
 #[test]
@@ -93,7 +93,7 @@
             net.cut(follower, true);
             sleep(ms(BOUND)).await;
             let cut = Core::beat(&core, "i-1".into(), marshal(), ms(100)).await;
-            assert_eq!(cut, Answer::NotTaken, "seed {seed}");
+            assert_eq!(cut, Answer::NotAccepted, "seed {seed}");
         });
     }
 }
@@ -124,8 +124,8 @@
                     cut = Some(Instant::now());
                 }
                 let Some((_, bytes)) = words.recv().await else { break };
-                if let ToEdge::Pulse { fresh, .. } =
-                    wire::read::<ToEdge>(&mut bytes.as_slice()).await.unwrap()
+                if let ToEdge::Heartbeat { fresh, .. } =
+                    wire::read_frame::<ToEdge>(&mut bytes.as_slice()).await.unwrap()
                 {
                     told.push(fresh);
                 }
@@ -162,7 +162,7 @@
                 let core = net.core(leader).unwrap();
                 let core = &mut *core.borrow_mut();
                 let now = core.now();
-                core.registry.edge(now, status(id), 0);
+                core.registry.record_edge(now, status(id), 0);
             };
             for _ in 0..8 {
                 lives(8);
@@ -236,7 +236,7 @@
             net.stick(leader, ms(6_000), false);
             let proposing = std::rc::Rc::clone(&core);
             let body = br#"{"revision":1,"routing":{},"targets":{}}"#;
-            assert!(Configuration::read(body).is_ok());
+            assert!(Configuration::parse(body).is_ok());
             tokio::task::spawn_local(async move {
                 let _ = Core::configure(&proposing, Some(0), body, ms(900)).await;
                 // whoever leads next has it, or not
--- a/crates/control-plane/tests/directory.rs
+++ b/crates/control-plane/tests/directory.rs
@@ -29,13 +29,13 @@
 async fn without_edges_of_its_own_region_a_client_is_led_to_homes() {
     let (send, _batches) = std::sync::mpsc::sync_channel(1);
     let writes = Writes { stored: Default::default(), send };
-    let core = Core::start(Settings::read(SETTINGS).unwrap(), writes, 1).unwrap();
+    let core = Core::start(Settings::parse(SETTINGS).unwrap(), writes, 1).unwrap();
     let core = &mut *core.borrow_mut();
-    let command = View::default().to_configure(1, BODY.as_bytes()).unwrap();
+    let command = View::default().configure_command(1, BODY.as_bytes()).unwrap();
     core.view.apply(1, &command);
     let now = core.now();
     for (number, region, ready) in [(1, "north", false), (2, "south", true), (3, "west", true)] {
-        core.registry.edge(now, edge(number, region, ready), 0);
+        core.registry.record_edge(now, edge(number, region, ready), 0);
     }
     let led = |core: &Core, host: &str, region: &str| -> Vec<u8> {
         core.resolve(host, region).edges.iter().map(|edge| edge.ip().octets()[3]).collect()
@@ -45,7 +45,7 @@
     assert_eq!(led(core, "g.example", "north"), [2, 3], "without homes anywhere is as good");
     assert_eq!(led(core, "g.example", "east"), [2, 3], "better anywhere than nowhere");
     // No home is left: the one of its own region that leaves, and not for long.
-    core.registry.edge(now + 1, edge(2, "south", false), 0);
+    core.registry.record_edge(now + 1, edge(2, "south", false), 0);
     assert_eq!(led(core, "h.example", "north"), [1]);
     assert!(core.resolve("h.example", "north").hold_s <= 1.0);
     assert_eq!(led(core, "h.example", "east"), [3]);
--- a/crates/control-plane/tests/power_loss.rs
+++ b/crates/control-plane/tests/power_loss.rs
@@ -8,7 +8,7 @@
 use machines::{ms, Net, World, MACHINES};
 use milletwing_consensus::Role;
 use milletwing_control_plane::core::{Core, Shared};
-use milletwing_replicated_state::{Beat, State, View};
+use milletwing_replicated_state::{Beat, RollOutState, View};
 use milletwing_wire::{Answer, CoreRequest};
 use std::future::Future;
 use tokio::time::sleep;
@@ -36,7 +36,7 @@
     let text = format!(
         r#"{{"target":"s","address":"10.1.0.1:80","zone":"b","revision":"v1","capacity":4,"state":"{state}","callCounter":{counter}}}"#
     );
-    Beat::read(text.as_bytes()).unwrap()
+    Beat::parse(text.as_bytes()).unwrap()
 }
 
 impl Told {
@@ -44,11 +44,11 @@
         let within = ms(900);
         match self {
             Told::Configuration => {
-                Core::configure(core, Some(1), NEXT, within).await.unwrap_or(Answer::Unsure)
+                Core::configure(core, Some(1), NEXT, within).await.unwrap_or(Answer::Unknown)
             }
             Told::RollOut => {
                 let ordered = Core::rollout(core, "s".into(), "v2".into(), 60_000, within).await;
-                ordered.unwrap_or(Answer::Unsure)
+                ordered.unwrap_or(Answer::Unknown)
             }
             Told::Evacuation => Core::evacuation(core, "b", true, within).await,
             Told::TakenBack => Core::evacuation(core, "b", false, within).await,
@@ -61,11 +61,11 @@
         match self {
             Told::Configuration => view.revision == 2,
             Told::RollOut => {
-                view.rollouts.get("s").is_some_and(|it| it.to == "v2" && it.state == State::Active)
+                view.rollouts.get("s").is_some_and(|it| it.to == "v2" && it.state == RollOutState::Active)
             }
             Told::Evacuation => view.evacuated.contains_key("b"),
             Told::TakenBack => !view.evacuated.contains_key("b"),
-            Told::Drain => view.knows_that_it_leaves("i-1"),
+            Told::Drain => view.is_leaving("i-1"),
             Told::Left => view.has_left("i-1") && !view.nodes.contains_key("i-1"),
         }
     }
@@ -111,7 +111,7 @@
             settled(&net).await;
             let core = net.core(by).unwrap();
             insist(&core, async || {
-                Core::configure(&core, Some(0), BODY, ms(900)).await.unwrap_or(Answer::Unsure)
+                Core::configure(&core, Some(0), BODY, ms(900)).await.unwrap_or(Answer::Unknown)
             })
             .await;
             insist(&core, async || Core::beat(&core, "i-1".into(), marshal("available", 1), ms(900)).await)
@@ -128,7 +128,7 @@
             for (at, core) in net.cores() {
                 insist(&core, async || match Core::read(&core, ms(900)).await {
                     Ok(index) => Answer::Done(index),
-                    Err(_) => Answer::Unsure,
+                    Err(_) => Answer::Unknown,
                 })
                 .await;
                 let holds = told.holds(&core.borrow().view);
--- a/crates/drift-detection/src/check.rs
+++ b/crates/drift-detection/src/check.rs
@@ -2,13 +2,13 @@
 //! the core checks the edges that it tells; all of them fold the same entries.
 
 use crate::digest::{Digest, Part};
-use crate::Time;
+use crate::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What an edge routes by, as of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reflection {
+pub struct TableDigest {
     /// The last entry that it has folded.
     pub index: u64,
     /// The digest of its tables in use.
@@ -38,40 +38,40 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Finding {
     /// It routes by what was agreed.
-    Well,
+    InSync,
     /// It is a little behind, as it may be.
-    Lags,
+    Lagging,
     /// It routes by what was agreed before, for longer than it may.
-    Older,
+    Stale,
     /// As of the same entry it routes by something else, in these parts.
-    Partial(Vec<Part>),
+    Mismatch(Vec<Part>),
     /// It has folded what was never agreed.
     Ahead,
     /// It says that it lives, and nothing of what it routes by.
     Stuck,
     /// A decision of its own contradicts what it says it routes by.
-    Contradicts(String),
+    Contradiction(String),
 }
 
 impl Finding {
     /// Whether it is drift.
-    pub fn drift(&self) -> bool {
-        !matches!(self, Finding::Well | Finding::Lags)
+    pub fn is_drift(&self) -> bool {
+        !matches!(self, Finding::InSync | Finding::Lagging)
     }
 
     /// For operators.
-    pub fn word(&self) -> String {
+    pub fn describe(&self) -> String {
         match self {
-            Finding::Well => "well".into(),
-            Finding::Lags => "lags".into(),
-            Finding::Older => "older".into(),
-            Finding::Partial(parts) => {
-                let words: Vec<&str> = parts.iter().map(|part| part.word()).collect();
+            Finding::InSync => "well".into(),
+            Finding::Lagging => "lags".into(),
+            Finding::Stale => "older".into(),
+            Finding::Mismatch(parts) => {
+                let words: Vec<&str> = parts.iter().map(|part| part.as_str()).collect();
                 format!("partial: {}", words.join(", "))
             }
             Finding::Ahead => "too new".into(),
             Finding::Stuck => "stuck".into(),
-            Finding::Contradicts(what) => format!("contradicts itself: {what}"),
+            Finding::Contradiction(what) => format!("contradicts itself: {what}"),
         }
     }
 }
@@ -80,27 +80,27 @@
 const KEPT: usize = 128;
 
 /// Milliseconds without a beat after which an edge is out of touch.
-const SILENT: Time = 1_500;
+const SILENT: Millis = 1_500;
 
 struct Own {
     index: u64,
-    at: Time,
+    at: Millis,
     digest: Digest,
 }
 
 struct Told {
     life: u64,
     /// When it reflected last, or was first heard after a silence.
-    at: Time,
+    at: Millis,
     /// When it was heard last, and since when this machine tells it.
-    heard: Time,
-    attached: Time,
+    heard: Millis,
+    attached: Millis,
 }
 
 /// One core machine's checks of the edges that it tells.
 pub struct Checker {
     /// Milliseconds that an edge may be behind.
-    lag: Time,
+    lag: Millis,
     own: VecDeque<Own>,
     edges: BTreeMap<u32, Told>,
     /// Digests compared.
@@ -111,18 +111,18 @@
 
 impl Checker {
     /// Of edges that may be behind for so long.
-    pub fn new(lag: Time) -> Checker {
+    pub fn new(lag: Millis) -> Checker {
         Checker { lag, own: VecDeque::new(), edges: BTreeMap::new(), checked: 0, differed: 0 }
     }
 
     /// The last entry that the core's own digest was made of.
-    pub fn index(&self) -> Option<u64> {
+    pub fn last_index(&self) -> Option<u64> {
         self.own.back().map(|own| own.index)
     }
 
     /// The core's own digest as of an entry, without the parts that are an edge's own.
-    pub fn own(&mut self, now: Time, index: u64, digest: Digest) {
-        if self.index().is_none_or(|last| last < index) {
+    pub fn record_core_digest(&mut self, now: Millis, index: u64, digest: Digest) {
+        if self.last_index().is_none_or(|last| last < index) {
             self.own.push_back(Own { index, at: now, digest });
         }
         if self.own.len() > KEPT {
@@ -131,19 +131,19 @@
     }
 
     /// The core's own digest as of an entry, if it is kept.
-    pub fn kept(&self, index: u64) -> Option<&Digest> {
+    pub fn core_digest(&self, index: u64) -> Option<&Digest> {
         self.own.iter().rev().find(|own| own.index == index).map(|own| &own.digest)
     }
 
     /// An edge is told by this machine from now on, or no more.
-    pub fn attach(&mut self, now: Time, edge: u32, life: u64) {
+    pub fn attach(&mut self, now: Millis, edge: u32, life: u64) {
         self.edges.insert(edge, Told { life, at: now, heard: now, attached: now });
     }
 
     /// An edge was heard, and has folded so much. After a silence it has its time anew: it was frozen, or cut off. `fresh`: this
     /// machine hears its leader.
-    pub fn heard(&mut self, now: Time, edge: u32, index: u64, fresh: bool) -> Option<Finding> {
-        let last = self.index();
+    pub fn record_heartbeat(&mut self, now: Millis, edge: u32, index: u64, fresh: bool) -> Option<Finding> {
+        let last = self.last_index();
         let told = self.edges.get_mut(&edge)?;
         let anew = now.saturating_sub(told.heard) > SILENT;
         told.heard = now;
@@ -155,9 +155,9 @@
         if anew || !fresh {
             told.attached = now;
         }
-        let over = |at: Time| now.saturating_sub(at) > self.lag;
+        let over = |at: Millis| now.saturating_sub(at) > self.lag;
         let next = self.own.iter().find(|own| own.index > index);
-        (over(told.attached) && next.is_some_and(|next| over(next.at))).then_some(Finding::Older)
+        (over(told.attached) && next.is_some_and(|next| over(next.at))).then_some(Finding::Stale)
     }
 
     /// An edge is no longer told by this machine: it may be elsewhere, which is for others to say.
@@ -171,9 +171,9 @@
     /// it is kept. `fresh`: this machine hears its leader, so that what it has folded is what there is.
     pub fn check(
         &mut self,
-        now: Time,
+        now: Millis,
         edge: u32,
-        reflection: &Reflection,
+        table_digest: &TableDigest,
         wanted: Option<Digest>,
         fresh: bool,
     ) -> Finding {
@@ -182,28 +182,28 @@
         }
         if let Some(wanted) = wanted {
             self.checked += 1;
-            let parts = wanted.differs(&reflection.digest);
+            let parts = wanted.differing_parts(&table_digest.digest);
             self.differed += u64::from(!parts.is_empty());
             if !parts.is_empty() {
-                return Finding::Partial(parts);
+                return Finding::Mismatch(parts);
             }
         }
-        let Some(last) = self.own.back() else { return Finding::Lags };
-        if reflection.index > last.index {
+        let Some(last) = self.own.back() else { return Finding::Lagging };
+        if table_digest.index > last.index {
             // Guards against naming an edge that was told by another machine which is ahead of this one.
             let settled = fresh && now.saturating_sub(last.at) > self.lag;
-            return if settled { Finding::Ahead } else { Finding::Lags };
+            return if settled { Finding::Ahead } else { Finding::Lagging };
         }
         // Whether it is behind its beats tell.
         if wanted.is_some() {
-            Finding::Well
+            Finding::InSync
         } else {
-            Finding::Lags
+            Finding::Lagging
         }
     }
 
     /// Edges that have said nothing of what they route by for longer than they may.
-    pub fn silent(&self, now: Time) -> Vec<(u32, u64)> {
+    pub fn unreporting_edges(&self, now: Millis) -> Vec<(u32, u64)> {
         let over = self.lag + 2_000;
         let silent = self.edges.iter().filter(|(_, told)| {
             // Guards against naming one that is not heard at all: of that nothing is known.
--- a/crates/drift-detection/src/digest.rs
+++ b/crates/drift-detection/src/digest.rs
@@ -25,7 +25,7 @@
     pub const ALL: [Part; 5] = [Part::Routes, Part::Hosts, Part::Deals, Part::Trials, Part::Tenants];
 
     /// For operators.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Part::Routes => "routes",
             Part::Hosts => "hosts",
@@ -37,7 +37,7 @@
 }
 
 /// Takes the leaves of what is routed by.
-pub trait Sink {
+pub trait LeafSink {
     /// One thing, by its name, with all that matters about it.
     fn leaf(&mut self, part: Part, name: &str, about: &[&[u8]]);
 }
@@ -60,7 +60,7 @@
     parts: [u128; Part::ALL.len()],
 }
 
-impl Sink for Digest {
+impl LeafSink for Digest {
     fn leaf(&mut self, part: Part, name: &str, about: &[&[u8]]) {
         let sum = &mut self.parts[part as usize];
         *sum = sum.wrapping_add(hash(part, name, about));
@@ -69,13 +69,13 @@
 
 impl Digest {
     /// The same, but for one part that is as another has it.
-    pub fn like(mut self, other: &Digest, part: Part) -> Digest {
+    pub fn with_part_of(mut self, other: &Digest, part: Part) -> Digest {
         self.parts[part as usize] = other.parts[part as usize];
         self
     }
 
     /// The parts in which two differ.
-    pub fn differs(&self, other: &Digest) -> Vec<Part> {
+    pub fn differing_parts(&self, other: &Digest) -> Vec<Part> {
         Part::ALL
             .into_iter()
             .filter(|part| self.parts[*part as usize] != other.parts[*part as usize])
@@ -85,30 +85,30 @@
 
 /// Leaves by name, for those who want to know which of them differ.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Names(pub Vec<(Part, String, u64)>);
+pub struct LeafHashes(pub Vec<(Part, String, u64)>);
 
-impl Sink for Names {
+impl LeafSink for LeafHashes {
     fn leaf(&mut self, part: Part, name: &str, about: &[&[u8]]) {
         self.0.push((part, name.into(), hash(part, name, about) as u64));
     }
 }
 
-impl Names {
+impl LeafHashes {
     /// What is missing there, what is there beside it, and what differs: so many at most.
-    pub fn against(&self, other: &Names, most: usize) -> Vec<String> {
-        let find = |names: &Names, part: Part, name: &str| {
+    pub fn differences(&self, other: &LeafHashes, most: usize) -> Vec<String> {
+        let find = |names: &LeafHashes, part: Part, name: &str| {
             names.0.iter().find(|it| it.0 == part && it.1 == name).map(|it| it.2)
         };
         let mut out = Vec::new();
         for (part, name, hash) in &self.0 {
             match find(other, *part, name) {
-                None => out.push(format!("{} {name} is missing", part.word())),
-                Some(theirs) if theirs != *hash => out.push(format!("{} {name} differs", part.word())),
+                None => out.push(format!("{} {name} is missing", part.as_str())),
+                Some(theirs) if theirs != *hash => out.push(format!("{} {name} differs", part.as_str())),
                 Some(_) => {}
             }
         }
         let extra = other.0.iter().filter(|it| find(self, it.0, &it.1).is_none());
-        out.extend(extra.map(|(part, name, _)| format!("{} {name} is too many", part.word())));
+        out.extend(extra.map(|(part, name, _)| format!("{} {name} is too many", part.as_str())));
         out.truncate(most);
         out
     }
--- a/crates/drift-detection/src/lib.rs
+++ b/crates/drift-detection/src/lib.rs
@@ -6,9 +6,9 @@
 pub mod digest;
 pub mod repair;
 
-pub use check::{Checker, Finding, Reflection, Sample};
-pub use digest::{Digest, Names, Part, Sink};
-pub use repair::{Order, Repairer, Step};
+pub use check::{Checker, Finding, Sample, TableDigest};
+pub use digest::{Digest, LeafHashes, LeafSink, Part};
+pub use repair::{RepairOrder, Repairer, Step};
 
 /// Milliseconds of a steady clock that is the user's.
-pub type Time = u64;
+pub type Millis = u64;
--- a/crates/drift-detection/src/repair.rs
+++ b/crates/drift-detection/src/repair.rs
@@ -3,7 +3,7 @@
 //! nothing is done but to say so.
 
 use crate::check::Finding;
-use crate::Time;
+use crate::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
 
 impl Step {
     /// For operators.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Step::Back => "back",
             Step::Again => "again",
@@ -37,7 +37,7 @@
 
 /// A step that is to be entered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct RepairOrder {
     /// The edge.
     pub edge: u32,
     /// Its life.
@@ -50,7 +50,7 @@
 
 /// How an edge stands.
 #[derive(Clone, Debug)]
-pub struct Standing {
+pub struct EdgeStanding {
     /// Its life.
     pub life: u64,
     /// Its zone.
@@ -58,41 +58,41 @@
     /// What was found last.
     pub finding: Finding,
     /// When that was.
-    pub at: Time,
+    pub at: Millis,
     /// Since when it has drifted.
-    pub since: Option<Time>,
+    pub since: Option<Millis>,
     /// The last step taken, and when.
-    pub step: Option<(Step, Time)>,
+    pub step: Option<(Step, Millis)>,
 }
 
 /// Milliseconds between two steps with one edge.
-const PAUSE: Time = 1_500;
+const PAUSE: Millis = 1_500;
 /// Milliseconds that an edge rests before it is ended.
-const RESTS: Time = 6_000;
+const RESTS: Millis = 6_000;
 /// Milliseconds between the ends of two edges.
-const ENDS: Time = 30_000;
+const ENDS: Millis = 30_000;
 /// What was found longer ago than this says nothing.
-const FRESH: Time = 4_000;
+const FRESH: Millis = 4_000;
 /// One of so many edges may rest at once.
 const PART: usize = 8;
 
 /// The leader's record of all edges.
 #[derive(Debug, Default)]
 pub struct Repairer {
-    edges: BTreeMap<u32, Standing>,
-    ended: Option<Time>,
+    edges: BTreeMap<u32, EdgeStanding>,
+    ended: Option<Millis>,
     /// Most have drifted.
-    pub alarm: bool,
+    pub most_drifted: bool,
 }
 
 impl Repairer {
     /// What a machine of the core found of an edge that it tells.
-    pub fn told(&mut self, now: Time, edge: u32, life: u64, zone: &str, finding: Finding) {
-        let drift = finding.drift();
-        let standing = self.edges.entry(edge).or_insert_with(|| Standing {
+    pub fn record_finding(&mut self, now: Millis, edge: u32, life: u64, zone: &str, finding: Finding) {
+        let drift = finding.is_drift();
+        let standing = self.edges.entry(edge).or_insert_with(|| EdgeStanding {
             life,
             zone: zone.into(),
-            finding: Finding::Lags,
+            finding: Finding::Lagging,
             at: now,
             since: None,
             step: None,
@@ -101,7 +101,7 @@
             // A new life begins with nothing: what was done to the last one is over.
             (standing.life, standing.since, standing.step) = (life, None, None);
         }
-        let well = finding == Finding::Well;
+        let well = finding == Finding::InSync;
         (standing.finding, standing.at) = (finding, now);
         if drift {
             standing.since.get_or_insert(now);
@@ -111,36 +111,36 @@
     }
 
     /// All edges.
-    pub fn edges(&self) -> impl Iterator<Item = (u32, &Standing)> {
+    pub fn edges(&self) -> impl Iterator<Item = (u32, &EdgeStanding)> {
         self.edges.iter().map(|(edge, standing)| (*edge, standing))
     }
 
     /// What follows. `ready`: edges that take traffic, with their zones.
-    pub fn step(&mut self, now: Time, ready: &[(u32, String)]) -> Vec<Order> {
+    pub fn next_orders(&mut self, now: Millis, ready: &[(u32, String)]) -> Vec<RepairOrder> {
         self.edges.retain(|_, it| now.saturating_sub(it.at) < 60_000);
-        let fresh = |it: &Standing| now.saturating_sub(it.at) < FRESH;
+        let fresh = |it: &EdgeStanding| now.saturating_sub(it.at) < FRESH;
         let heard = self.edges.values().filter(|it| fresh(it)).count();
         let drifted = self.edges.values().filter(|it| fresh(it) && it.since.is_some()).count();
         // One of one, or of two, may be wrong by itself.
-        self.alarm = drifted >= 2 && drifted * 2 > heard;
+        self.most_drifted = drifted >= 2 && drifted * 2 > heard;
         let mut resting = self.edges.values().filter(|it| matches!(it.step, Some((Step::Rest, _)))).count();
         let mut out = Vec::new();
         for (edge, it) in &mut self.edges {
-            let order = |step: Step, it: &Standing| Order {
+            let order = |step: Step, it: &EdgeStanding| RepairOrder {
                 edge: *edge,
                 life: it.life,
                 step,
-                why: it.finding.word(),
+                why: it.finding.describe(),
             };
             if it.since.is_none() {
                 // Well again: whatever was begun is taken back.
-                if matches!(it.step, Some((Step::Rest, _))) && it.finding == Finding::Well {
+                if matches!(it.step, Some((Step::Rest, _))) && it.finding == Finding::InSync {
                     out.push(order(Step::Back, it));
                 }
                 it.step = None;
                 continue;
             }
-            if self.alarm || now.saturating_sub(it.at) >= FRESH {
+            if self.most_drifted || now.saturating_sub(it.at) >= FRESH {
                 continue;
             }
             let next = match it.step {
--- a/crates/drift-detection/tests/repairs.rs
+++ b/crates/drift-detection/tests/repairs.rs
@@ -1,6 +1,6 @@
 //! How a drifted edge is brought back: which steps, when, and to how many at once.
 
-use milletwing_drift_detection::{Finding, Order, Part, Repairer, Step};
+use milletwing_drift_detection::{Finding, Part, RepairOrder, Repairer, Step};
 use std::collections::BTreeMap;
 
 const LIFE: u64 = 1;
@@ -10,7 +10,7 @@
 }
 
 fn drifted() -> Finding {
-    Finding::Partial(vec![Part::Hosts])
+    Finding::Mismatch(vec![Part::Hosts])
 }
 
 /// Tells of all edges ten times a second: some drift, the rest is well. Gives the steps by time.
@@ -19,19 +19,19 @@
     edges: &[(u32, String)],
     span: std::ops::Range<u64>,
     drifts: impl Fn(u64, u32) -> bool,
-) -> Vec<(u64, Order)> {
+) -> Vec<(u64, RepairOrder)> {
     let mut out = Vec::new();
     for now in span.step_by(100) {
         for (edge, zone) in edges {
-            let finding = if drifts(now, *edge) { drifted() } else { Finding::Well };
-            repairer.told(now, *edge, LIFE, zone, finding);
+            let finding = if drifts(now, *edge) { drifted() } else { Finding::InSync };
+            repairer.record_finding(now, *edge, LIFE, zone, finding);
         }
-        out.extend(repairer.step(now, edges).into_iter().map(|order| (now, order)));
+        out.extend(repairer.next_orders(now, edges).into_iter().map(|order| (now, order)));
     }
     out
 }
 
-fn steps(orders: &[(u64, Order)], edge: u32) -> Vec<(u64, Step)> {
+fn steps(orders: &[(u64, RepairOrder)], edge: u32) -> Vec<(u64, Step)> {
     orders.iter().filter(|(_, order)| order.edge == edge).map(|(now, order)| (*now, order.step)).collect()
 }
 
@@ -81,10 +81,10 @@
     let edges = ready(24);
     let mut repairer = Repairer::default();
     let orders = play(&mut repairer, &edges, 1_000..9_000, |_, edge| edge <= 13);
-    assert!(orders.is_empty() && repairer.alarm, "{orders:?}");
+    assert!(orders.is_empty() && repairer.most_drifted, "{orders:?}");
     // Once few are left of them the steps begin.
     let orders = play(&mut repairer, &edges, 9_000..12_000, |_, edge| edge <= 2);
-    assert!(!repairer.alarm && !steps(&orders, 1).is_empty());
+    assert!(!repairer.most_drifted && !steps(&orders, 1).is_empty());
 }
 
 #[test]
@@ -95,8 +95,8 @@
         orders.iter().filter(|(_, order)| order.step == Step::End).map(|(now, _)| *now).collect();
     assert!(ends.len() == 2 && ends[1] - ends[0] >= 30_000, "{ends:?}");
     let mut repairer = Repairer::default();
-    repairer.told(1_000, 4, LIFE, "b", drifted());
-    assert!(repairer.step(6_000, &edges).is_empty(), "what was found five seconds ago");
+    repairer.record_finding(1_000, 4, LIFE, "b", drifted());
+    assert!(repairer.next_orders(6_000, &edges).is_empty(), "what was found five seconds ago");
 }
 
 #[test]
@@ -104,8 +104,8 @@
     let edges = ready(24);
     let mut repairer = Repairer::default();
     play(&mut repairer, &edges, 1_000..4_000, |_, edge| edge == 4);
-    repairer.told(4_000, 4, LIFE + 1, "b", drifted());
-    let orders = repairer.step(4_000, &edges);
+    repairer.record_finding(4_000, 4, LIFE + 1, "b", drifted());
+    let orders = repairer.next_orders(4_000, &edges);
     let begun: BTreeMap<u32, (u64, Step)> = orders.iter().map(|it| (it.edge, (it.life, it.step))).collect();
     assert_eq!(begun.get(&4), Some(&(LIFE + 1, Step::Again)));
 }
--- a/crates/edge-proxy/src/edge.rs
+++ b/crates/edge-proxy/src/edge.rs
@@ -3,7 +3,7 @@
 use crate::metrics::Metrics;
 use crate::pool::{Dial, Pool};
 use milletwing_config::{event, Settings};
-use milletwing_drift_detection::{Digest, Reflection, Step};
+use milletwing_drift_detection::{Digest, Step, TableDigest};
 use milletwing_replicated_state::{EdgeStatus, View};
 use milletwing_routing::{Place, Router, Time};
 use std::cell::{Cell, RefCell};
@@ -44,7 +44,7 @@
     /// The core has it end in order.
     pub end: Notify,
     /// What it routes by, to be told with the next beat; when that was made last; and whether it was asked for in whole.
-    pub reflection: Cell<Option<Reflection>>,
+    pub table_digest: Cell<Option<TableDigest>>,
     reflected: Cell<Time>,
     pub asked: Cell<bool>,
     /// Idle connections close.
@@ -79,7 +79,7 @@
             leaving: Cell::new(None),
             resting: Cell::new(false),
             end: Notify::new(),
-            reflection: Cell::new(None),
+            table_digest: Cell::new(None),
             reflected: Cell::new(0),
             asked: Cell::new(false),
             close: Notify::new(),
@@ -147,12 +147,12 @@
         self.reflected.set(now);
         let mut digest = Digest::default();
         self.router.borrow().reflect(&mut digest);
-        self.reflection.set(Some(Reflection { index: self.view.borrow().index, digest }));
+        self.table_digest.set(Some(TableDigest { index: self.view.borrow().index, digest }));
     }
 
     /// Does what the core has decided, to be brought back.
     pub fn repair(&self, step: Step) {
-        event!(Repairs, "{}", step.word());
+        event!(Repairs, "{}", step.as_str());
         match step {
             Step::Back | Step::Rest => {
                 self.resting.set(step == Step::Rest);
@@ -166,7 +166,7 @@
 
     /// The whole view has come anew: all tables are made from it.
     pub fn renew(&self) {
-        event!(Repairs, "{}", Step::Renew.word());
+        event!(Repairs, "{}", Step::Renew.as_str());
         self.router.borrow_mut().renew(self.now(), &self.view.borrow());
         self.reflected.set(0);
         self.refresh();
--- a/crates/edge-proxy/src/feed.rs
+++ b/crates/edge-proxy/src/feed.rs
@@ -3,9 +3,9 @@
 
 use crate::edge::Edge;
 use milletwing_config::event;
-use milletwing_drift_detection::Names;
+use milletwing_drift_detection::LeafHashes;
 use milletwing_replicated_state::{Command, View};
-use milletwing_wire::{self as wire, frame, place, EdgeReport, FromEdge, Greeting, ToEdge};
+use milletwing_wire::{self as wire, encode_frame, internal_address, EdgeReport, FromEdge, Greeting, ToEdge};
 use std::cell::Cell;
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
@@ -50,7 +50,7 @@
         if let Some((id, stream)) = nearest(if some.is_empty() { &all } else { &some }, port).await {
             let (read, write) = stream.into_split();
             let why = listen(&edge, read, write, &mut cores).await;
-            event!(FeedLost, "{}: {why}", place(id, port));
+            event!(FeedLost, "{}: {why}", internal_address(id, port));
             left.push((id, Instant::now() + Duration::from_secs(2)));
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -61,8 +61,8 @@
 async fn nearest(all: &[u32], port: u16) -> Option<(u32, TcpStream)> {
     let mut dials = JoinSet::new();
     for id in all.iter().copied() {
-        let to: SocketAddrV4 = place(id, port);
-        dials.spawn_local(async move { (id, wire::dial(to, Duration::from_millis(600)).await) });
+        let to: SocketAddrV4 = internal_address(id, port);
+        dials.spawn_local(async move { (id, wire::connect(to, Duration::from_millis(600)).await) });
     }
     while let Some(done) = dials.join_next().await {
         if let Ok((id, Ok(stream))) = done {
@@ -82,7 +82,7 @@
     let came = Rc::new(Cell::new(false));
     let mut read = BufReader::with_capacity(4096, Noted { read, came: Rc::clone(&came) });
     let greeting = Greeting::Edge(edge.heard(), edge.view.borrow().index);
-    if let Err(problem) = write.write_all(&frame(&greeting)).await {
+    if let Err(problem) = write.write_all(&encode_frame(&greeting)).await {
         return problem.to_string();
     }
     let beating = Rc::clone(edge);
@@ -97,20 +97,20 @@
             let observed = beating.router.borrow_mut().observed(MOST_OBSERVED);
             trials = !reports.is_empty();
             // With nothing to tell, every second one is enough to say that it lives.
-            let reflection = beating.reflection.take();
+            let table_digest = beating.table_digest.take();
             let sample = beating.router.borrow_mut().sample();
-            let news = !observed.is_empty() || reflection.is_some() || beating.asked.get();
+            let news = !observed.is_empty() || table_digest.is_some() || beating.asked.get();
             idle = if changed || trials || news { 0 } else { idle + 1 };
             if idle % 2 == 1 {
                 continue;
             }
             let (edge, index) = (beating.heard(), beating.view.borrow().index);
-            let said = EdgeReport { edge, index, reports, observed, reflection, sample };
-            let mut bytes = frame(&FromEdge::Beat(Box::new(said)));
+            let said = EdgeReport { edge, index, reports, observed, table_digest, sample };
+            let mut bytes = encode_frame(&FromEdge::Report(Box::new(said)));
             if beating.asked.replace(false) {
-                let mut names = Names::default();
+                let mut names = LeafHashes::default();
                 beating.router.borrow().reflect(&mut names);
-                bytes.extend(frame(&FromEdge::Names(names)));
+                bytes.extend(encode_frame(&FromEdge::LeafHashes(names)));
             }
             if write.write_all(&bytes).await.is_err() {
                 return;
@@ -123,7 +123,7 @@
         let down = {
             // Guards against taking bytes of the message before for a sign of life: silence would be noticed only the second time.
             came.set(false);
-            let mut reading = std::pin::pin!(wire::read::<ToEdge>(&mut read));
+            let mut reading = std::pin::pin!(wire::read_frame::<ToEdge>(&mut read));
             loop {
                 match tokio::time::timeout(SILENCE, reading.as_mut()).await {
                     Ok(down) => break down.map_err(|problem| problem.to_string()),
@@ -138,11 +138,11 @@
             Err(problem) => break problem,
         };
         match down {
-            ToEdge::Whole(packed) => match View::unpacked(&packed) {
+            ToEdge::Snapshot(packed) => match View::from_compressed(&packed) {
                 Ok(view) => whole(edge, view),
                 Err(problem) => break problem,
             },
-            ToEdge::Renew(packed) => match View::unpacked(&packed) {
+            ToEdge::Rebuild(packed) => match View::from_compressed(&packed) {
                 Ok(view) if view.index >= edge.view.borrow().index => {
                     *edge.view.borrow_mut() = view;
                     edge.renew();
@@ -151,13 +151,13 @@
                 Err(problem) => break problem,
             },
             ToEdge::Repair(step) => edge.repair(step),
-            ToEdge::Names => edge.asked.set(true),
+            ToEdge::LeafHashes => edge.asked.set(true),
             ToEdge::Entries(entries) => {
                 if let Err(problem) = fold(edge, entries) {
                     break problem;
                 }
             }
-            ToEdge::Pulse { fresh: now, index, cores: all, edges, loads } => {
+            ToEdge::Heartbeat { fresh: now, index, cores: all, edges, loads } => {
                 let behind = index < edge.view.borrow().index;
                 if !behind {
                     // All that edges are told up to there came before on this connection; a leader's first entry, or a change
@@ -225,7 +225,7 @@
         let view = &mut *edge.view.borrow_mut();
         for (index, bytes) in entries {
             if index > view.index {
-                view.apply(index, &Command::read(&bytes)?);
+                view.apply(index, &Command::from_bytes(&bytes)?);
             }
         }
     }
@@ -235,5 +235,5 @@
 
 /// Reads the settings again whenever the file changes.
 pub async fn watch(edge: Rc<Edge>, path: PathBuf) {
-    wire::watch(path, |settings| *edge.settings.borrow_mut() = settings).await;
+    wire::watch_settings(path, |settings| *edge.settings.borrow_mut() = settings).await;
 }
--- a/crates/edge-proxy/src/metrics.rs
+++ b/crates/edge-proxy/src/metrics.rs
@@ -1,7 +1,7 @@
 //! What an edge counts (`docs/metrics.md`).
 
-use milletwing_config::configuration::Class;
-use milletwing_config::Kind;
+use milletwing_config::configuration::TrafficClass;
+use milletwing_config::ErrorKind;
 use milletwing_metrics::{exponential_buckets, Histogram};
 use milletwing_routing::Result as TryResult;
 use std::cell::RefCell;
@@ -31,7 +31,7 @@
 
 impl Metrics {
     /// A request has a marshal's answer, of this status class, after so long.
-    pub fn answered(&self, class: Class, status: u16, took: Duration) {
+    pub fn answered(&self, class: TrafficClass, status: u16, took: Duration) {
         let outcome = match status {
             ..=299 => "answered_2xx",
             300..=399 => "answered_3xx",
@@ -43,7 +43,7 @@
     }
 
     /// A request ended with this edge's own answer.
-    pub fn refused(&self, class: Option<Class>, kind: &Kind) {
+    pub fn refused(&self, class: Option<TrafficClass>, kind: &ErrorKind) {
         *self.requests.borrow_mut().entry((class_label(class), reason_label(kind))).or_default() += 1;
     }
 
@@ -53,32 +53,32 @@
     }
 }
 
-fn class_label(class: Option<Class>) -> &'static str {
+fn class_label(class: Option<TrafficClass>) -> &'static str {
     match class {
-        Some(Class::Idempotent) => "idempotent",
-        Some(Class::NonIdempotent) => "non_idempotent",
-        Some(Class::Downlink) => "downlink",
+        Some(TrafficClass::Idempotent) => "idempotent",
+        Some(TrafficClass::NonIdempotent) => "non_idempotent",
+        Some(TrafficClass::Downlink) => "downlink",
         None => "unknown",
     }
 }
 
 /// A bounded set of words: kinds that no client of an edge meets are one.
-fn reason_label(kind: &Kind) -> &'static str {
+fn reason_label(kind: &ErrorKind) -> &'static str {
     match kind {
-        Kind::NoRoute => "no_route",
-        Kind::UnknownKey => "unknown_key",
-        Kind::OutOfTouch => "out_of_touch",
-        Kind::BadRequest(_) => "bad_request",
-        Kind::HeadTooLarge => "head_too_large",
-        Kind::BodyTooLarge => "body_too_large",
-        Kind::NotReady => "not_ready",
-        Kind::Leaving => "leaving",
-        Kind::Full => "full",
-        Kind::NoMarshal => "no_marshal",
-        Kind::TurnedAway => "turned_away",
-        Kind::Expired => "expired",
-        Kind::Broken => "broken",
-        Kind::Silent => "silent",
+        ErrorKind::NoRoute => "no_route",
+        ErrorKind::Unauthorized => "unknown_key",
+        ErrorKind::CoreUnreachable => "out_of_touch",
+        ErrorKind::BadRequest(_) => "bad_request",
+        ErrorKind::HeadTooLarge => "head_too_large",
+        ErrorKind::BodyTooLarge => "body_too_large",
+        ErrorKind::NotConfigured => "not_ready",
+        ErrorKind::ShuttingDown => "leaving",
+        ErrorKind::AtCapacity => "full",
+        ErrorKind::NoReachableMarshal => "no_marshal",
+        ErrorKind::RejectedByMarshal => "turned_away",
+        ErrorKind::DeadlineExceeded => "expired",
+        ErrorKind::MarshalDisconnected => "broken",
+        ErrorKind::ResponseTimeout => "silent",
         _ => "other",
     }
 }
--- a/crates/edge-proxy/src/metrics_page.rs
+++ b/crates/edge-proxy/src/metrics_page.rs
@@ -24,7 +24,11 @@
         "Sendings to marshals by how they ended",
         tries.iter().map(|(result, count)| (vec![("result", (*result).to_owned())], *count)),
     );
-    page.seconds("answer", "From a request's head to the head of its marshal's answer", &metrics.durations);
+    page.duration_histogram(
+        "answer",
+        "From a request's head to the head of its marshal's answer",
+        &metrics.durations,
+    );
     page.gauge("client_connections", "Open connections of clients", edge.connections.get() as f64);
     page.gauge("requests_under_way", "Requests that have no whole answer yet", edge.requests.get() as f64);
     page.gauge("ready", "1 while clients should come", f64::from(u8::from(edge.ready())));
@@ -46,5 +50,5 @@
     let phases = phases.into_iter().map(|(phase, count)| (vec![("phase", phase.to_owned())], count as f64));
     page.gauges("marshals", "Marshals that are known, by phase", phases);
     page.resident_memory();
-    page.text()
+    page.render()
 }
--- a/crates/edge-proxy/src/pool.rs
+++ b/crates/edge-proxy/src/pool.rs
@@ -76,7 +76,7 @@
 pub fn tcp() -> Dial {
     Box::new(|to, unread| {
         Box::pin(async move {
-            let stream = milletwing_wire::dial(to, DIAL).await?;
+            let stream = milletwing_wire::connect(to, DIAL).await?;
             Ok(Box::new(BoundedStream::new(stream, unread)?) as Box<dyn Wire>)
         })
     })
--- a/crates/edge-proxy/src/relay.rs
+++ b/crates/edge-proxy/src/relay.rs
@@ -14,8 +14,8 @@
 use hyper::header::{self, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
-use milletwing_config::configuration::Class;
-use milletwing_config::{event, Kind};
+use milletwing_config::configuration::TrafficClass;
+use milletwing_config::{event, ErrorKind};
 use milletwing_routing::table::Route;
 use milletwing_routing::{Head, Result as Ended, Sending, Ticket};
 use std::rc::Rc;
@@ -60,29 +60,29 @@
 }
 
 struct Refusal {
-    kind: Kind,
+    kind: ErrorKind,
     id: String,
     route: Option<Rc<Route>>,
 }
 
-fn refused(edge: &Edge, kind: &Kind, route: Option<&Route>) -> Response<Out> {
-    let answer = kind.answer();
+fn refused(edge: &Edge, kind: &ErrorKind, route: Option<&Route>) -> Response<Out> {
+    let answer = kind.response();
     let mut response = Response::new(Out::Whole(Some(Bytes::from(format!("{kind}\n")))));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or_default();
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-    if answer.again {
-        let elsewhere = matches!(kind, Kind::Leaving);
+    if answer.retryable {
+        let elsewhere = matches!(kind, ErrorKind::ShuttingDown);
         let wait = if elsewhere { ELSEWHERE_S } else { edge.router.borrow_mut().back(route) };
         let wait = format!("{wait:.3}");
         if let Ok(wait) = HeaderValue::from_str(&wait) {
             headers.insert(header::RETRY_AFTER, wait);
         }
     }
-    if matches!(kind, Kind::UnknownKey) {
+    if matches!(kind, ErrorKind::Unauthorized) {
         headers.insert(header::WWW_AUTHENTICATE, HeaderValue::from_static(KEY_SCHEME));
     }
-    if matches!(kind, Kind::BadRequest(_) | Kind::BodyTooLarge | Kind::HeadTooLarge) {
+    if matches!(kind, ErrorKind::BadRequest(_) | ErrorKind::BodyTooLarge | ErrorKind::HeadTooLarge) {
         // What may follow on this connection can't be told from the rest of this request.
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
@@ -99,7 +99,7 @@
 }
 
 impl Prepared {
-    fn refuse(&self, kind: Kind) -> Refusal {
+    fn refuse(&self, kind: ErrorKind) -> Refusal {
         Refusal { kind, id: self.id.clone(), route: Some(Rc::clone(&self.ticket.route)) }
     }
 }
@@ -113,10 +113,10 @@
     let (mut parts, body) = request.into_parts();
     let id = parts.headers.get(ATTEMPT).and_then(|id| id.to_str().ok()).unwrap_or("").to_owned();
     let refuse =
-        |kind: Kind, route: Option<&Rc<Route>>| Refusal { kind, id: id.clone(), route: route.cloned() };
+        |kind: ErrorKind, route: Option<&Rc<Route>>| Refusal { kind, id: id.clone(), route: route.cloned() };
     let most_body = check(edge, &parts, &body, exchange.notes()).map_err(|kind| refuse(kind, None))?;
     if edge.requests.get() > MOST {
-        return Err(refuse(Kind::Full, None));
+        return Err(refuse(ErrorKind::AtCapacity, None));
     }
     let host = parts.headers.get(header::HOST).and_then(|host| host.to_str().ok());
     let host = host.or(parts.uri.host()).unwrap_or("").to_owned();
@@ -138,14 +138,14 @@
     let gathering = tokio::time::timeout_at(over, gather(body));
     let gathered = match gathering.await {
         Ok(Ok(gathered)) => gathered,
-        Ok(Err(_)) => return Err(refuse(Kind::BadRequest("the body broke off".into()), Some(route))),
-        Err(_) => return Err(refuse(Kind::Expired, Some(route))),
+        Ok(Err(_)) => return Err(refuse(ErrorKind::BadRequest("the body broke off".into()), Some(route))),
+        Err(_) => return Err(refuse(ErrorKind::DeadlineExceeded, Some(route))),
     };
     parts.headers.remove(header::CONTENT_LENGTH);
     parts.headers.remove(header::EXPECT);
     let sized: u64 = gathered.head.iter().map(|bytes| bytes.len() as u64).sum();
     if sized > most_body {
-        return Err(refuse(Kind::BodyTooLarge, Some(route)));
+        return Err(refuse(ErrorKind::BodyTooLarge, Some(route)));
     }
     let source = match gathered {
         Gathered { head, rest: None } => Source::Whole(join(head)),
@@ -161,7 +161,7 @@
     edge: &Rc<Edge>,
     request: Request<Incoming>,
     exchange: &Rc<Exchange>,
-) -> Result<(Response<Out>, Class), Refusal> {
+) -> Result<(Response<Out>, TrafficClass), Refusal> {
     let mut prepared = prepare(edge, request, exchange).await?;
     let first = edge.router.borrow_mut().pick(edge.now(), &mut prepared.ticket);
     let first = first.map_err(|kind| prepared.refuse(kind))?;
@@ -169,7 +169,7 @@
     let expected = edge.router.borrow().may_take(edge.now(), &prepared.ticket, &first);
     if edge.too_late(expected) {
         edge.router.borrow_mut().ended(edge.now(), &mut prepared.ticket, &first, Ended::Unsent, None);
-        return Err(prepared.refuse(Kind::Leaving));
+        return Err(prepared.refuse(ErrorKind::ShuttingDown));
     }
     let about = [prepared.id.as_str(), prepared.host.as_str(), prepared.parts.uri.path()];
     edge.router.borrow_mut().note(edge.now(), about, &prepared.ticket, &first);
@@ -182,7 +182,7 @@
     edge: &Rc<Edge>,
     prepared: &mut Prepared,
     first: Sending,
-) -> Result<(Response<Out>, Class), Refusal> {
+) -> Result<(Response<Out>, TrafficClass), Refusal> {
     let (deadline, id) = (prepared.ticket.deadline, prepared.id.clone());
     let mut over = std::pin::pin!(tokio::time::sleep(left(edge, deadline)));
     let patience = edge.router.borrow().patience(&prepared.ticket, &first);
@@ -197,7 +197,7 @@
             Some(done) = running.next() => {
                 let (result, answer) = settle(edge, prepared, done);
                 if result == Ended::Served && answer.is_some() {
-                    return end(edge, prepared, answer, Kind::Broken);
+                    return end(edge, prepared, answer, ErrorKind::MarshalDisconnected);
                 }
                 if prepared.source.again() && edge.router.borrow().again(edge.now(), &prepared.ticket, result) {
                     let next = edge.router.borrow_mut().pick(edge.now(), &mut prepared.ticket);
@@ -231,7 +231,7 @@
                     running.push(send(edge, &prepared.parts, &mut prepared.source, next, deadline, &id));
                 }
             }
-            _ = over.as_mut() => return Err(prepared.refuse(Kind::Silent)),
+            _ = over.as_mut() => return Err(prepared.refuse(ErrorKind::ResponseTimeout)),
         }
     }
 }
@@ -258,8 +258,8 @@
     edge: &Rc<Edge>,
     prepared: &Prepared,
     answer: Option<Answer>,
-    kind: Kind,
-) -> Result<(Response<Out>, Class), Refusal> {
+    kind: ErrorKind,
+) -> Result<(Response<Out>, TrafficClass), Refusal> {
     match answer {
         Some(answer) => {
             let route = &prepared.ticket.route;
@@ -270,11 +270,11 @@
 }
 
 /// What a client is told where no marshal's answer can be.
-fn last_word(ticket: &Ticket, result: Ended) -> Kind {
+fn last_word(ticket: &Ticket, result: Ended) -> ErrorKind {
     match result {
-        Ended::Silent => Kind::Silent,
-        _ if ticket.ran => Kind::Broken,
-        Ended::TurnedAway | Ended::Moved => Kind::TurnedAway,
-        _ => Kind::NoMarshal,
+        Ended::Silent => ErrorKind::ResponseTimeout,
+        _ if ticket.ran => ErrorKind::MarshalDisconnected,
+        Ended::TurnedAway | Ended::Moved => ErrorKind::RejectedByMarshal,
+        _ => ErrorKind::NoReachableMarshal,
     }
 }
--- a/crates/edge-proxy/src/tests.rs
+++ b/crates/edge-proxy/src/tests.rs
@@ -97,9 +97,9 @@
 
 /// An edge that was told a configuration and marshals, and that reaches them by `dial`.
 fn edge_of(settings: &str, body: &str, nodes: impl Iterator<Item = Node>, dial: Dial) -> Rc<Edge> {
-    let edge = Edge::new(Settings::read(settings).unwrap(), "10.0.0.9:8548".parse().unwrap(), dial);
+    let edge = Edge::new(Settings::parse(settings).unwrap(), "10.0.0.9:8548".parse().unwrap(), dial);
     let mut view = View::default();
-    let command = view.to_configure(1, body.as_bytes()).unwrap();
+    let command = view.configure_command(1, body.as_bytes()).unwrap();
     view.apply(1, &command);
     for (at, node) in nodes.enumerate() {
         view.apply(2 + at as u64, &Command::NodeUp(node));
--- a/crates/edge-proxy/src/tests/core_silence.rs
+++ b/crates/edge-proxy/src/tests/core_silence.rs
@@ -3,7 +3,7 @@
 
 use super::{edge, run, Arrivals};
 use crate::feed::listen;
-use milletwing_wire::{frame, ToEdge};
+use milletwing_wire::{encode_frame, ToEdge};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{duplex, split, AsyncWriteExt, DuplexStream};
@@ -13,7 +13,7 @@
 const PULSE: Duration = Duration::from_millis(200);
 
 fn pulse(fresh: bool) -> Vec<u8> {
-    frame(&ToEdge::Pulse { fresh, index: 100, cores: vec![1, 2, 3], edges: 3, loads: Vec::new() })
+    encode_frame(&ToEdge::Heartbeat { fresh, index: 100, cores: vec![1, 2, 3], edges: 3, loads: Vec::new() })
 }
 
 /// Pulses at their pace: so many that hear the leader, then so many that don't; then nothing.
--- a/crates/edge-proxy/src/tests/tenants.rs
+++ b/crates/edge-proxy/src/tests/tenants.rs
@@ -169,7 +169,7 @@
         ];
         for (revision, body, wanted) in bodies {
             let body = body.replace("\"revision\":1", &format!("\"revision\":{revision}"));
-            let command = edge.view.borrow().to_configure(revision, body.as_bytes()).unwrap();
+            let command = edge.view.borrow().configure_command(revision, body.as_bytes()).unwrap();
             index += 1;
             edge.view.borrow_mut().apply(index, &command);
             edge.refresh();
--- a/crates/edge-proxy/src/unread.rs
+++ b/crates/edge-proxy/src/unread.rs
@@ -5,7 +5,7 @@
 //! silent host holds only while what the peer may have left unread surely fits its window. Beyond that the bound is the
 //! time of the message that is under way.
 
-use milletwing_wire::groom;
+use milletwing_wire::configure_stream;
 use std::cell::Cell;
 use std::pin::Pin;
 use std::rc::Rc;
@@ -85,14 +85,14 @@
     /// Sets what every connection of the system has. Errors: the socket refuses an option.
     pub fn new(stream: TcpStream, unread: Rc<Unread>) -> std::io::Result<BoundedStream> {
         let bound = unread.bound();
-        groom(&stream, bound)?;
+        configure_stream(&stream, bound)?;
         Ok(BoundedStream { stream, unread, bound })
     }
 
     /// Gives the socket the bound of this moment.
     fn bind(&mut self) {
         let bound = self.unread.bound();
-        if bound != self.bound && milletwing_wire::bound_unacknowledged(&self.stream, bound).is_ok() {
+        if bound != self.bound && milletwing_wire::set_unacknowledged_timeout(&self.stream, bound).is_ok() {
             self.bound = bound;
         }
     }
--- a/crates/edge-proxy/src/validation.rs
+++ b/crates/edge-proxy/src/validation.rs
@@ -7,11 +7,11 @@
 use hyper::header;
 use hyper::http::request::Parts;
 use hyper::{Method, Version};
-use milletwing_config::Kind;
+use milletwing_config::ErrorKind;
 
 /// Whether a request is one at all, and within bounds. Gives the largest body.
-pub fn check(edge: &Edge, parts: &Parts, body: &Incoming, notes: &Notes) -> Result<u64, Kind> {
-    let bad = |what: &str| Err(Kind::BadRequest(what.into()));
+pub fn check(edge: &Edge, parts: &Parts, body: &Incoming, notes: &Notes) -> Result<u64, ErrorKind> {
+    let bad = |what: &str| Err(ErrorKind::BadRequest(what.into()));
     let Some(head) = notes.framing.borrow_mut().next_head() else {
         return bad("what came before it has no end that can be told");
     };
@@ -37,11 +37,11 @@
     let target = parts.uri.path_and_query().map_or(0, |it| it.as_str().len());
     let head: usize = parts.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum();
     if most_head > 0 && (head + target + 16) as u64 > most_head {
-        return Err(Kind::HeadTooLarge);
+        return Err(ErrorKind::HeadTooLarge);
     }
     let most_body = if most_body > 0 { most_body } else { u64::MAX };
     if body.size_hint().lower() > most_body {
-        return Err(Kind::BodyTooLarge);
+        return Err(ErrorKind::BodyTooLarge);
     }
     Ok(most_body)
 }
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -18,7 +18,7 @@
 use std::sync::atomic::AtomicU64;
 
 /// Series of one metric at most; further ones are left out of the page.
-pub const MOST_SERIES: usize = 128;
+pub const MAX_SERIES: usize = 128;
 
 /// Where metrics are served: `PORT/PATH`, as in a deploy file.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
@@ -32,7 +32,7 @@
 
 /// Why a text names no endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
-pub enum BadEndpoint {
+pub enum EndpointError {
     /// No slash in it.
     #[display("PORT/PATH is wanted")]
     NoPath,
@@ -42,11 +42,11 @@
 }
 
 impl FromStr for Endpoint {
-    type Err = BadEndpoint;
+    type Err = EndpointError;
 
-    fn from_str(text: &str) -> Result<Endpoint, BadEndpoint> {
-        let (port, path) = text.split_once('/').ok_or(BadEndpoint::NoPath)?;
-        let port: u16 = port.parse().ok().filter(|port| *port > 0).ok_or(BadEndpoint::BadPort)?;
+    fn from_str(text: &str) -> Result<Endpoint, EndpointError> {
+        let (port, path) = text.split_once('/').ok_or(EndpointError::NoPath)?;
+        let port: u16 = port.parse().ok().filter(|port| *port > 0).ok_or(EndpointError::BadPort)?;
         Ok(Endpoint { port, path: format!("/{path}") })
     }
 }
@@ -73,7 +73,7 @@
     /// Values that only rise, one for each set of labels.
     pub fn counters(&mut self, name: &str, help: &str, series: impl IntoIterator<Item = (Labels, u64)>) {
         let family = Family::<Labels, Counter>::default();
-        for (labels, value) in series.into_iter().take(MOST_SERIES) {
+        for (labels, value) in series.into_iter().take(MAX_SERIES) {
             family.get_or_create(&labels).inc_by(value);
         }
         self.0.register(name, help, family);
@@ -89,14 +89,14 @@
     /// Values that rise and fall, one for each set of labels.
     pub fn gauges(&mut self, name: &str, help: &str, series: impl IntoIterator<Item = (Labels, f64)>) {
         let family = Family::<Labels, Gauge<f64, AtomicU64>>::default();
-        for (labels, value) in series.into_iter().take(MOST_SERIES) {
+        for (labels, value) in series.into_iter().take(MAX_SERIES) {
             family.get_or_create(&labels).set(value);
         }
         self.0.register(name, help, family);
     }
 
     /// A histogram of durations in seconds.
-    pub fn seconds(&mut self, name: &str, help: &str, histogram: &Histogram) {
+    pub fn duration_histogram(&mut self, name: &str, help: &str, histogram: &Histogram) {
         self.0.register_with_unit(name, help, Unit::Seconds, histogram.clone());
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// The page as text.
-    pub fn text(&self) -> String {
+    pub fn render(&self) -> String {
         let mut text = String::new();
         if encode(&mut text, &self.0).is_err() {
             text.clear(); // writing to memory does not fail
--- a/crates/metrics/tests/page.rs
+++ b/crates/metrics/tests/page.rs
@@ -1,6 +1,6 @@
 //! What a page says, and where it is served.
 
-use milletwing_metrics::{BadEndpoint, Endpoint, Histogram, Page, MOST_SERIES};
+use milletwing_metrics::{Endpoint, EndpointError, Histogram, Page, MAX_SERIES};
 
 #[test]
 fn a_page_is_text_in_the_open_metrics_format() {
@@ -10,8 +10,8 @@
     page.gauge("connections", "Open connections", 2.0);
     let durations = Histogram::new([0.1, 1.0]);
     durations.observe(0.5);
-    page.seconds("duration", "Durations", &durations);
-    let text = page.text();
+    page.duration_histogram("duration", "Durations", &durations);
+    let text = page.render();
     for line in [
         "# TYPE milletwing_edge_requests counter",
         "milletwing_edge_requests_total{class=\"idempotent\"} 3",
@@ -28,8 +28,8 @@
 #[test]
 fn series_are_bounded() {
     let mut page = Page::new("m");
-    page.gauges("many", "Many", (0..MOST_SERIES * 2).map(|at| (vec![("at", at.to_string())], 1.0)));
-    assert_eq!(page.text().lines().filter(|line| line.starts_with("m_many{")).count(), MOST_SERIES);
+    page.gauges("many", "Many", (0..MAX_SERIES * 2).map(|at| (vec![("at", at.to_string())], 1.0)));
+    assert_eq!(page.render().lines().filter(|line| line.starts_with("m_many{")).count(), MAX_SERIES);
 }
 
 #[test]
@@ -37,8 +37,8 @@
     let read: Endpoint = "7555/metrics/all".parse().unwrap();
     assert_eq!(read, Endpoint { port: 7555, path: "/metrics/all".into() });
     assert_eq!(read.to_string(), "7555/metrics/all");
-    assert_eq!("7555".parse::<Endpoint>(), Err(BadEndpoint::NoPath));
+    assert_eq!("7555".parse::<Endpoint>(), Err(EndpointError::NoPath));
     for text in ["/metrics", "0/metrics", "70000/metrics", "x/metrics"] {
-        assert_eq!(text.parse::<Endpoint>(), Err(BadEndpoint::BadPort), "{text}");
+        assert_eq!(text.parse::<Endpoint>(), Err(EndpointError::BadPort), "{text}");
     }
 }
--- a/crates/replicated-state/src/command.rs
+++ b/crates/replicated-state/src/command.rs
@@ -73,12 +73,12 @@
 
 impl Command {
     /// Its bytes.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default() // plain values can't fail
     }
 
     /// From its bytes. The error says what doesn't fit.
-    pub fn read(bytes: &[u8]) -> Result<Command, String> {
+    pub fn from_bytes(bytes: &[u8]) -> Result<Command, String> {
         postcard::from_bytes(bytes).map_err(|problem| format!("entry: {problem}"))
     }
 }
--- a/crates/replicated-state/src/lib.rs
+++ b/crates/replicated-state/src/lib.rs
@@ -8,4 +8,4 @@
 
 pub use command::{Command, Deal, Node, Phase};
 pub use registry::{Beat, EdgeHeartbeat, EdgeStatus, Registry};
-pub use view::{Emptied, Outcome, Repair, RollOut, State, View};
+pub use view::{Outcome, Repair, RollOut, RollOutState, View, ZoneEvacuation};
--- a/crates/replicated-state/src/registry.rs
+++ b/crates/replicated-state/src/registry.rs
@@ -3,7 +3,7 @@
 
 use crate::command::{Command, Deal, Node, Phase};
 use crate::view::View;
-use milletwing_config::Kind;
+use milletwing_config::ErrorKind;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -34,12 +34,13 @@
 
 impl Beat {
     /// Reads a beat. The error says what doesn't fit.
-    pub fn read(bytes: &[u8]) -> Result<Beat, Kind> {
-        let beat: Beat = serde_json::from_slice(bytes).map_err(|why| Kind::BadBeat(why.to_string()))?;
+    pub fn parse(bytes: &[u8]) -> Result<Beat, ErrorKind> {
+        let beat: Beat =
+            serde_json::from_slice(bytes).map_err(|why| ErrorKind::InvalidBeat(why.to_string()))?;
         match beat.state.as_str() {
             "available" | "draining" if beat.capacity > 0 => Ok(beat),
-            "available" | "draining" => Err(Kind::BadBeat("capacity is 0".into())),
-            other => Err(Kind::BadBeat(format!("state {other}"))),
+            "available" | "draining" => Err(ErrorKind::InvalidBeat("capacity is 0".into())),
+            other => Err(ErrorKind::InvalidBeat(format!("state {other}"))),
         }
     }
 }
@@ -76,11 +77,11 @@
 
 /// What to do with a beat.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum BeatAction {
     /// Acknowledge it.
-    Known,
+    Acknowledge,
     /// Acknowledge it once this entry is committed.
-    Enter(Command),
+    Propose(Command),
 }
 
 /// Milliseconds.
@@ -132,7 +133,7 @@
 
 impl Registry {
     /// Takes a beat.
-    pub fn beat(&mut self, now: Time, view: &View, id: &str, beat: &Beat) -> Verdict {
+    pub fn handle_beat(&mut self, now: Time, view: &View, id: &str, beat: &Beat) -> BeatAction {
         if self.lives.len() >= LIVES && !self.lives.contains_key(id) {
             self.lives.retain(|id, _| view.nodes.contains_key(id));
         }
@@ -142,7 +143,7 @@
         let late = beat.call_counter < life.counter;
         life.counter = life.counter.max(beat.call_counter);
         if late || view.has_left(id) {
-            return Verdict::Known;
+            return BeatAction::Acknowledge;
         }
         let left = warmup(beat.warmup_left_s);
         let until = now + left;
@@ -150,22 +151,22 @@
         if beat.state == "draining" {
             return match known {
                 Some(node) if node.phase != Phase::Draining => {
-                    Verdict::Enter(Command::NodeDrains { id: id.into() })
+                    BeatAction::Propose(Command::NodeDrains { id: id.into() })
                 }
-                Some(_) => Verdict::Known,
+                Some(_) => BeatAction::Acknowledge,
                 // Guards against a report of its that comes late: whoever drains must not be taken for one that has come.
-                None => Verdict::Enter(Command::NodeGone { id: id.into(), silent: false }),
+                None => BeatAction::Propose(Command::NodeGone { id: id.into(), silent: false }),
             };
         }
         let Some(node) = known.filter(|node| node.address == beat.address) else {
             life.cold = Some(until);
             life.held = false;
             let phase = if left > 0 {
-                Phase::Cold(self.deal(now, view, &beat.target, &beat.zone))
+                Phase::Cold(self.allocate_warmup(now, view, &beat.target, &beat.zone))
             } else {
                 Phase::Warm
             };
-            return Verdict::Enter(Command::NodeUp(Node {
+            return BeatAction::Propose(Command::NodeUp(Node {
                 id: id.into(),
                 target: beat.target.clone(),
                 address: beat.address,
@@ -178,33 +179,33 @@
         match &node.phase {
             Phase::Warm if left > 0 => {
                 (life.cold, life.held) = (Some(until), false);
-                let deal = self.deal(now, view, &beat.target, &beat.zone);
-                Verdict::Enter(Command::NodeCold { id: id.into(), deal })
+                let deal = self.allocate_warmup(now, view, &beat.target, &beat.zone);
+                BeatAction::Propose(Command::NodeCold { id: id.into(), deal })
             }
             Phase::Cold(_) => {
                 if left > 0 {
                     life.cold = Some(life.cold.unwrap_or(0).max(until));
                 } else if !life.held && (!self.leads || life.cold.is_some()) {
-                    return Verdict::Enter(Command::NodeWarm { id: id.into() });
+                    return BeatAction::Propose(Command::NodeWarm { id: id.into() });
                 }
-                Verdict::Known
+                BeatAction::Acknowledge
             }
-            _ => Verdict::Known,
+            _ => BeatAction::Acknowledge,
         }
     }
 
     /// A marshal says that it is gone.
-    pub fn leave(&mut self, view: &View, id: &str) -> Verdict {
+    pub fn handle_leave(&mut self, view: &View, id: &str) -> BeatAction {
         self.lives.remove(id);
         // Also one that is not known: a report of its may still be on its way, and must not bring it in.
         if view.has_left(id) {
-            return Verdict::Known;
+            return BeatAction::Acknowledge;
         }
-        Verdict::Enter(Command::NodeGone { id: id.into(), silent: false })
+        BeatAction::Propose(Command::NodeGone { id: id.into(), silent: false })
     }
 
     /// An edge was heard of, so many milliseconds ago.
-    pub fn edge(&mut self, now: Time, heard: EdgeStatus, ago: Time) {
+    pub fn record_edge(&mut self, now: Time, heard: EdgeStatus, ago: Time) {
         let at = now.saturating_sub(ago);
         if self.edges.get(&heard.id).is_none_or(|(_, known)| at >= *known) {
             self.edges.insert(heard.id, (heard, at));
@@ -212,7 +213,7 @@
     }
 
     /// An edge that may be known already was heard of, so many milliseconds ago; another life of it is not the one known.
-    pub fn edge_heartbeat(&mut self, now: Time, still: &EdgeHeartbeat) {
+    pub fn record_edge_heartbeat(&mut self, now: Time, still: &EdgeHeartbeat) {
         let at = now.saturating_sub(still.ago);
         if let Some((edge, known)) = self.edges.get_mut(&still.id).filter(|(edge, _)| edge.life == still.life)
         {
@@ -248,7 +249,7 @@
     }
 
     /// Edges that take traffic and were heard lately.
-    pub fn ready(&self, now: Time) -> Vec<&EdgeStatus> {
+    pub fn ready_edges(&self, now: Time) -> Vec<&EdgeStatus> {
         self.edges(now)
             .filter(|(edge, ago)| edge.ready && *ago <= EDGE_SILENT)
             .map(|(edge, _)| edge)
@@ -256,12 +257,12 @@
     }
 
     /// Drops edges that were silent for long.
-    pub fn forget(&mut self, now: Time) {
+    pub fn expire_edges(&mut self, now: Time) {
         self.edges.retain(|_, (_, at)| now.saturating_sub(*at) < 60_000);
     }
 
     /// Ids of marshals heard since the last call, for the others.
-    pub fn news(&mut self) -> Vec<String> {
+    pub fn take_heard_ids(&mut self) -> Vec<String> {
         let mut fresh = std::mem::take(&mut self.fresh);
         fresh.sort_unstable();
         fresh.dedup();
@@ -269,7 +270,7 @@
     }
 
     /// Another machine has heard these marshals.
-    pub fn heard(&mut self, now: Time, ids: &[String]) {
+    pub fn record_heard(&mut self, now: Time, ids: &[String]) {
         for id in ids {
             self.lives.entry(id.clone()).or_default().heard = now;
         }
@@ -278,7 +279,7 @@
     /// This machine leads from now on: it knows nothing of how long others were silent, nor how cold they are. What it heard, or
     /// decided in an earlier term, is no measure: a leader in between may have entered that they are cold anew, by an
     /// order that only that leader held them for. So each cold marshal is held for the whole of its warm-up.
-    pub fn lead(&mut self, now: Time, view: &View, cold_for: &dyn Fn(&str) -> f64) {
+    pub fn become_leader(&mut self, now: Time, view: &View, cold_for: &dyn Fn(&str) -> f64) {
         self.leads = true;
         for life in self.lives.values_mut() {
             (life.cold, life.held) = (None, false);
@@ -293,13 +294,13 @@
     }
 
     /// Another machine leads, or none.
-    pub fn follow(&mut self) {
+    pub fn become_follower(&mut self) {
         self.leads = false;
     }
 
     /// Marshals of a zone that is taken back: cold until their time is over, whatever their beats say, since those may
     /// have been sent before they turned cold.
-    pub fn take_back(
+    pub fn restore_zone(
         &mut self,
         now: Time,
         view: &View,
@@ -310,7 +311,7 @@
         for node in view.nodes.values().filter(|node| node.zone == zone) {
             let life = self.lives.entry(node.id.clone()).or_default();
             life.hold(now + warmup(cold_for(&node.target)) + ENTRY_TRAVEL);
-            deals.push((node.id.clone(), self.deal(now, view, &node.target, zone)));
+            deals.push((node.id.clone(), self.allocate_warmup(now, view, &node.target, zone)));
         }
         Command::Evacuate { zone: zone.into(), on: false, sure: false, deals }
     }
@@ -355,11 +356,11 @@
     /// Deals out what a cold marshal bears: `warmupPerS` in all, to edges that take traffic, near ones first, in whole
     /// requests a second. The part is given once for each time that it is cold, so that edges that can't be reached any
     /// more and those that can never have more than this together.
-    pub fn deal(&self, now: Time, view: &View, target: &str, zone: &str) -> Deal {
+    pub fn allocate_warmup(&self, now: Time, view: &View, target: &str, zone: &str) -> Deal {
         let per_s =
             view.configuration().and_then(|it| it.targets.get(target)).map_or(0.0, |it| it.warmup_per_s);
         let whole = per_s.max(0.0) as u32;
-        let ready = self.ready(now);
+        let ready = self.ready_edges(now);
         let region = ready.iter().find(|edge| edge.zone == zone).map(|edge| edge.region.clone());
         let rank = |edge: &&&EdgeStatus| (edge.zone != zone, Some(&edge.region) != region.as_ref(), edge.id);
         let mut near: Vec<&&EdgeStatus> = ready.iter().collect();
--- a/crates/replicated-state/src/view.rs
+++ b/crates/replicated-state/src/view.rs
@@ -2,7 +2,7 @@
 
 use crate::command::{Command, Deal, Node, Phase};
 use crate::pack::{pack, unpack};
-use milletwing_config::{Configuration, Kind};
+use milletwing_config::{Configuration, ErrorKind};
 use milletwing_drift_detection::Step;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -10,11 +10,11 @@
 use std::sync::Arc;
 
 /// Bytes of a configuration: one of some twenty thousand routes.
-pub const MOST_BODY: usize = 4 << 20;
+pub const MAX_CONFIGURATION_BYTES: usize = 4 << 20;
 /// Bytes of a state unpacked that a machine reads.
 const MOST_STATE: usize = 16 << 20;
 /// Bytes of a state beyond which nothing more is taken into it: what is on its way at that moment still fits.
-pub const MOST_ADMITTED: usize = 14 << 20;
+pub const MAX_ADMITTED_BYTES: usize = 14 << 20;
 /// Bytes of an item in the state beside its strings, at most: numbers, addresses, lengths.
 const ITEM: usize = 48;
 /// Bytes of one edge's part of a cold marshal, at most.
@@ -29,13 +29,13 @@
 const LEFT: usize = 4096;
 
 /// The digest by which a configuration is known.
-pub fn digest(body: &[u8]) -> [u8; 32] {
+pub fn configuration_digest(body: &[u8]) -> [u8; 32] {
     Sha256::digest(body).into()
 }
 
 impl Node {
     /// About how many bytes it has in a state, and not fewer.
-    pub fn weight(&self) -> usize {
+    pub fn max_encoded_size(&self) -> usize {
         let deal = match &self.phase {
             Phase::Cold(deal) => deal.len() * PART,
             Phase::Warm | Phase::Draining => 0,
@@ -47,7 +47,7 @@
 
 /// How far a roll-out is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum State {
+pub enum RollOutState {
     /// Under way.
     Active,
     /// The new version has all.
@@ -56,20 +56,20 @@
     Reverted,
 }
 
-impl State {
+impl RollOutState {
     /// The protocol's word.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            State::Active => "active",
-            State::Completed => "completed",
-            State::Reverted => "reverted",
+            RollOutState::Active => "active",
+            RollOutState::Completed => "completed",
+            RollOutState::Reverted => "reverted",
         }
     }
 }
 
 /// A zone that is emptied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Emptied {
+pub struct ZoneEvacuation {
     /// Orders to empty it that were not taken back.
     pub orders: u32,
     /// One was taken back while another stands.
@@ -88,7 +88,7 @@
     /// Milliseconds that it may take.
     pub period_ms: u64,
     /// How far it is.
-    pub state: State,
+    pub state: RollOutState,
     /// And at which stage, while it is under way.
     pub stage: u32,
 }
@@ -114,7 +114,7 @@
     /// It holds, now or since earlier.
     Done,
     /// It doesn't.
-    Refused(Kind),
+    Refused(ErrorKind),
 }
 
 /// The state.
@@ -133,7 +133,7 @@
     /// Ids of those that said that they are gone, oldest first.
     left: VecDeque<String>,
     /// Zones that are emptied.
-    pub evacuated: BTreeMap<String, Emptied>,
+    pub evacuated: BTreeMap<String, ZoneEvacuation>,
     /// The newest roll-out of each service.
     pub rollouts: BTreeMap<String, RollOut>,
     /// The version of each service that has its traffic.
@@ -151,7 +151,7 @@
 
 impl View {
     /// Its bytes.
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn to_bytes(&self) -> Vec<u8> {
         let bytes = postcard::to_stdvec(self).unwrap_or_default(); // plain values can't fail
         let bytes = postcard::to_extend(&self.repairs, bytes).unwrap_or_default();
         postcard::to_extend(&self.suspected, bytes).unwrap_or_default()
@@ -178,9 +178,9 @@
     }
 
     /// About how many bytes it has, and not fewer.
-    pub fn weight(&self) -> usize {
+    pub fn max_encoded_size(&self) -> usize {
         let texts = |list: &[&str]| ITEM + list.iter().map(|text| text.len()).sum::<usize>();
-        let nodes: usize = self.nodes.values().map(Node::weight).sum();
+        let nodes: usize = self.nodes.values().map(Node::max_encoded_size).sum();
         let left: usize = self.left.iter().map(|id| texts(&[id])).sum();
         let settled: usize = self.settled.iter().map(|(service, version)| texts(&[service, version])).sum();
         let rollouts: usize = self.rollouts.iter().map(|(service, roll)| texts(&[service, &roll.to])).sum();
@@ -193,21 +193,21 @@
     }
 
     /// Whether so many further bytes may be taken into it; the error says how many there would be.
-    pub fn admits(&self, further: usize) -> Result<(), Kind> {
-        let whole = self.weight() + further;
-        if whole <= MOST_ADMITTED {
+    pub fn check_admission(&self, further: usize) -> Result<(), ErrorKind> {
+        let whole = self.max_encoded_size() + further;
+        if whole <= MAX_ADMITTED_BYTES {
             return Ok(());
         }
-        Err(Kind::StateTooLarge(whole, MOST_ADMITTED))
+        Err(ErrorKind::StateTooLarge(whole, MAX_ADMITTED_BYTES))
     }
 
     /// Its bytes, packed: for disks and links.
-    pub fn packed(&self) -> Vec<u8> {
-        pack(&self.bytes(), &[]).unwrap_or_default() // writing to memory can't fail
+    pub fn to_compressed(&self) -> Vec<u8> {
+        pack(&self.to_bytes(), &[]).unwrap_or_default() // writing to memory can't fail
     }
 
     /// From its packed bytes; from none, the state before any entry.
-    pub fn unpacked(packed: &[u8]) -> Result<View, String> {
+    pub fn from_compressed(packed: &[u8]) -> Result<View, String> {
         if packed.is_empty() {
             return Ok(View::default());
         }
@@ -225,7 +225,7 @@
     }
 
     /// Whether a life is known to drain, or to have ended.
-    pub fn knows_that_it_leaves(&self, id: &str) -> bool {
+    pub fn is_leaving(&self, id: &str) -> bool {
         self.has_left(id) || self.nodes.get(id).is_some_and(|node| node.phase == Phase::Draining)
     }
 
@@ -265,7 +265,7 @@
             }
             Command::Stage { service, number, stage } => {
                 if let Some(roll) = self.rollouts.get_mut(service) {
-                    if roll.number == *number && roll.state == State::Active {
+                    if roll.number == *number && roll.state == RollOutState::Active {
                         roll.stage = roll.stage.max(*stage); // a deposed leader's word comes late
                     }
                 }
@@ -308,28 +308,33 @@
     }
 
     /// Whether exactly this configuration has been taken, now or earlier.
-    pub fn took(&self, revision: u64, digest: &[u8; 32]) -> bool {
+    pub fn has_accepted(&self, revision: u64, digest: &[u8; 32]) -> bool {
         self.taken.iter().any(|(number, known)| *number == revision && known == digest)
     }
 
     /// The entry for a configuration on top of the one in force. Errors are the packing library's.
-    pub fn to_configure(&self, revision: u64, body: &[u8]) -> Result<Command, Kind> {
-        let packed = pack(body, &self.body).map_err(|problem| Kind::Unreadable(problem.to_string()))?;
-        Ok(Command::Configure { if_match: self.revision, revision, digest: digest(body), packed })
+    pub fn configure_command(&self, revision: u64, body: &[u8]) -> Result<Command, ErrorKind> {
+        let packed = pack(body, &self.body).map_err(|problem| ErrorKind::Unreadable(problem.to_string()))?;
+        Ok(Command::Configure {
+            if_match: self.revision,
+            revision,
+            digest: configuration_digest(body),
+            packed,
+        })
     }
 
     fn configure(&mut self, if_match: u64, revision: u64, known: &[u8; 32], packed: &[u8]) -> Outcome {
-        if self.took(revision, known) {
+        if self.has_accepted(revision, known) {
             return Outcome::Done;
         }
         if if_match != self.revision {
-            return Outcome::Refused(Kind::Stale(self.revision));
+            return Outcome::Refused(ErrorKind::RevisionMismatch(self.revision));
         }
-        let read = || -> Result<(Vec<u8>, Configuration), Kind> {
-            let body =
-                unpack(packed, &self.body, MOST_BODY).map_err(|it| Kind::Unreadable(it.to_string()))?;
-            if digest(&body) != *known {
-                return Err(Kind::Unreadable("it does not fit its digest".into()));
+        let read = || -> Result<(Vec<u8>, Configuration), ErrorKind> {
+            let body = unpack(packed, &self.body, MAX_CONFIGURATION_BYTES)
+                .map_err(|it| ErrorKind::Unreadable(it.to_string()))?;
+            if configuration_digest(&body) != *known {
+                return Err(ErrorKind::Unreadable("it does not fit its digest".into()));
             }
             let configuration = Configuration::decode(&body)?;
             Ok((body, configuration))
@@ -339,7 +344,7 @@
             Err(kind) => return Outcome::Refused(kind),
         };
         if revision <= self.revision || revision != configuration.revision {
-            return Outcome::Refused(Kind::OldRevision(revision, self.revision));
+            return Outcome::Refused(ErrorKind::OutdatedRevision(revision, self.revision));
         }
         self.revision = revision;
         self.body = Arc::new(body);
@@ -366,19 +371,22 @@
 
     fn evacuate(&mut self, zone: &str, on: bool, sure: bool, deals: &[(String, Deal)]) -> Outcome {
         if on {
-            let emptied =
-                self.evacuated.entry(zone.into()).or_insert(Emptied { orders: 0, back: false, certain: 0 });
+            let emptied = self.evacuated.entry(zone.into()).or_insert(ZoneEvacuation {
+                orders: 0,
+                back: false,
+                certain: 0,
+            });
             // Bounded: a call that goes out again counts as an order, too, and nobody takes it back.
             let own = sure || emptied.orders == 0;
             let certain = (emptied.certain + u32::from(own)).min(ORDERS);
-            *emptied = Emptied { orders: (emptied.orders + 1).min(ORDERS), back: false, certain };
+            *emptied = ZoneEvacuation { orders: (emptied.orders + 1).min(ORDERS), back: false, certain };
             return Outcome::Done;
         }
         let Some(emptied) = self.evacuated.get_mut(zone) else { return Outcome::Done };
         if emptied.orders > 1 {
             // Guards against filling a zone that another order still wants empty.
             let certain = emptied.certain.saturating_sub(1);
-            *emptied = Emptied { orders: emptied.orders - 1, back: true, certain };
+            *emptied = ZoneEvacuation { orders: emptied.orders - 1, back: true, certain };
             return Outcome::Done;
         }
         self.evacuated.remove(zone);
@@ -393,13 +401,13 @@
     }
 
     fn roll_out(&mut self, index: u64, service: &str, revision: &str, period_ms: u64) -> Outcome {
-        let same = |roll: &RollOut| roll.to == revision && roll.state == State::Active;
+        let same = |roll: &RollOut| roll.to == revision && roll.state == RollOutState::Active;
         if self.rollouts.get(service).is_some_and(same) {
             return Outcome::Done; // the same order again
         }
         let state = match self.settled.get(service) {
-            Some(settled) if settled == revision => State::Completed,
-            _ => State::Active,
+            Some(settled) if settled == revision => RollOutState::Completed,
+            _ => RollOutState::Active,
         };
         let roll = RollOut { number: index, to: revision.into(), period_ms, state, stage: 0 };
         self.rollouts.insert(service.into(), roll);
@@ -408,8 +416,8 @@
 
     fn settle(&mut self, service: &str, number: u64, good: bool) -> Outcome {
         let Some(roll) = self.rollouts.get_mut(service) else { return Outcome::Done };
-        if roll.number == number && roll.state == State::Active {
-            roll.state = if good { State::Completed } else { State::Reverted };
+        if roll.number == number && roll.state == RollOutState::Active {
+            roll.state = if good { RollOutState::Completed } else { RollOutState::Reverted };
             if good {
                 self.settled.insert(service.into(), roll.to.clone());
             }
@@ -420,11 +428,12 @@
     /// The roll-out that a marshal's version is on trial in.
     pub fn trial(&self, node: &Node) -> Option<&RollOut> {
         let roll = self.rollouts.get(&node.target)?;
-        (roll.state == State::Active && roll.to == node.revision && !self.in_service(node)).then_some(roll)
+        (roll.state == RollOutState::Active && roll.to == node.revision && !self.in_service(node))
+            .then_some(roll)
     }
 
     /// Whether a marshal may be sent to as far as its phase, zone and version go; and whether its version is on trial.
-    pub fn standing(&self, node: &Node) -> (bool, bool) {
+    pub fn eligibility(&self, node: &Node) -> (bool, bool) {
         let new = self.trial(node).is_some();
         let here = node.phase != Phase::Draining
             && !self.evacuated.contains_key(&node.zone)
@@ -433,7 +442,7 @@
     }
 
     /// Whether an edge rests until it is well again.
-    pub fn rests(&self, edge: u32, life: u64) -> bool {
+    pub fn is_resting(&self, edge: u32, life: u64) -> bool {
         let last = self.repairs.iter().rev().find(|repair| (repair.edge, repair.life) == (edge, life));
         last.is_some_and(|repair| matches!(repair.step, Step::Rest | Step::End))
     }
