--- a/crates/replicated-state/tests/histories.rs
+++ b/crates/replicated-state/tests/histories.rs
@@ -1,9 +1,9 @@
 //! Histories of entries and beats, judged after the fact.
 
-use milletwing_config::{Configuration, Kind};
-use milletwing_replicated_state::registry::Verdict;
+use milletwing_config::{Configuration, ErrorKind};
+use milletwing_replicated_state::registry::BeatAction;
 use milletwing_replicated_state::{
-    Beat, Command, EdgeHeartbeat, EdgeStatus, Node, Outcome, Phase, Registry, State, View,
+    Beat, Command, EdgeHeartbeat, EdgeStatus, Node, Outcome, Phase, Registry, RollOutState, View,
 };
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
 
 fn configured(revision: u64) -> View {
     let mut view = View::default();
-    let command = view.to_configure(revision, &body(revision, 1)).unwrap();
+    let command = view.configure_command(revision, &body(revision, 1)).unwrap();
     assert_eq!(view.apply(1, &command), Outcome::Done);
     view
 }
@@ -34,7 +34,7 @@
         r#"{{"target":"{target}","address":"{address}","zone":"a","revision":"v1","capacity":2,"state":"{state}",
         "warmupLeftS":{left},"callCounter":{counter}}}"#
     );
-    Beat::read(text.as_bytes()).unwrap()
+    Beat::parse(text.as_bytes()).unwrap()
 }
 
 fn edge(id: u32, zone: &str, region: &str) -> EdgeStatus {
@@ -50,9 +50,9 @@
 
 /// Takes a beat, and folds the entry that it asks for.
 fn take(view: &mut View, registry: &mut Registry, now: u64, id: &str, beat: &Beat) -> bool {
-    match registry.beat(now, view, id, beat) {
-        Verdict::Known => false,
-        Verdict::Enter(command) => {
+    match registry.handle_beat(now, view, id, beat) {
+        BeatAction::Acknowledge => false,
+        BeatAction::Propose(command) => {
             let index = view.index + 1;
             view.apply(index, &command);
             true
@@ -64,19 +64,19 @@
 fn of_two_configurations_on_one_version_one_wins_and_the_same_again_is_taken() {
     let mut view = configured(4);
     let (first, second) =
-        (view.to_configure(7, &body(7, 2)).unwrap(), view.to_configure(9, &body(9, 3)).unwrap());
+        (view.configure_command(7, &body(7, 2)).unwrap(), view.configure_command(9, &body(9, 3)).unwrap());
     assert_eq!(view.apply(2, &first), Outcome::Done);
-    assert_eq!(view.apply(3, &second), Outcome::Refused(Kind::Stale(7)));
+    assert_eq!(view.apply(3, &second), Outcome::Refused(ErrorKind::RevisionMismatch(7)));
     assert_eq!(
         view.apply(4, &first),
         Outcome::Done,
         "a call that got no clear answer goes out again unchanged"
     );
     assert_eq!((view.revision, view.body.as_slice()), (7, body(7, 2).as_slice()));
-    let old = view.to_configure(6, &body(6, 1)).unwrap();
-    assert_eq!(view.apply(5, &old), Outcome::Refused(Kind::OldRevision(6, 7)));
+    let old = view.configure_command(6, &body(6, 1)).unwrap();
+    assert_eq!(view.apply(5, &old), Outcome::Refused(ErrorKind::OutdatedRevision(6, 7)));
     // Taken long ago, it is still known as taken, and doesn't come back into force.
-    let next = view.to_configure(12, &body(12, 1)).unwrap();
+    let next = view.configure_command(12, &body(12, 1)).unwrap();
     assert_eq!(view.apply(6, &next), Outcome::Done);
     assert_eq!(view.apply(7, &first), Outcome::Done);
     assert_eq!(view.revision, 12);
@@ -85,28 +85,28 @@
 #[test]
 fn a_configuration_is_a_difference_and_comes_out_as_it_was_sent() {
     let mut view = configured(1);
-    let large = view.to_configure(2, &body(2, 1500)).unwrap();
+    let large = view.configure_command(2, &body(2, 1500)).unwrap();
     view.apply(2, &large);
     let mut more = body(3, 1501);
-    let next = view.to_configure(3, &more).unwrap();
+    let next = view.configure_command(3, &more).unwrap();
     assert!(
-        next.bytes().len() * 50 < more.len(),
+        next.to_bytes().len() * 50 < more.len(),
         "{} bytes for one route more of {}",
-        next.bytes().len(),
+        next.to_bytes().len(),
         more.len()
     );
     assert_eq!(view.apply(3, &next), Outcome::Done);
     assert_eq!(view.body.as_slice(), more);
     // A bit turned on the way is not another configuration.
-    let mut turned = view.to_configure(4, &body(4, 1)).unwrap();
+    let mut turned = view.configure_command(4, &body(4, 1)).unwrap();
     if let Command::Configure { digest, .. } = &mut turned {
         digest[0] ^= 1;
     }
-    assert!(matches!(view.apply(4, &turned), Outcome::Refused(Kind::Unreadable(_))));
+    assert!(matches!(view.apply(4, &turned), Outcome::Refused(ErrorKind::Unreadable(_))));
     assert_eq!(view.revision, 3);
     more.clear();
-    let again = View::from_bytes(&view.bytes()).unwrap();
-    assert_eq!(again.bytes(), view.bytes());
+    let again = View::from_bytes(&view.to_bytes()).unwrap();
+    assert_eq!(again.to_bytes(), view.to_bytes());
     assert_eq!(again.configuration().unwrap().routing.len(), 1501);
 }
 
@@ -122,7 +122,9 @@
     take(&mut view, &mut registry, 40, "i-1", &late);
     take(&mut view, &mut Registry::default(), 40, "i-1", &late);
     assert_eq!(view.nodes["i-1"].phase, Phase::Draining);
-    let Verdict::Enter(gone) = registry.leave(&view, "i-1") else { panic!("its end is an entry") };
+    let BeatAction::Propose(gone) = registry.handle_leave(&view, "i-1") else {
+        panic!("its end is an entry")
+    };
     view.apply(view.index + 1, &gone);
     take(&mut view, &mut registry, 50, "i-1", &late);
     take(&mut view, &mut Registry::default(), 50, "i-1", &late);
@@ -140,17 +142,17 @@
                 assert!(take(&mut view, &mut registry, 10, "i-1", &up));
             }
             let verdict = match drains {
-                true => registry.beat(20, &view, "i-1", &beat("s", "10.0.0.9:80", "draining", 0.0, 2)),
-                false => registry.leave(&view, "i-1"),
+                true => registry.handle_beat(20, &view, "i-1", &beat("s", "10.0.0.9:80", "draining", 0.0, 2)),
+                false => registry.handle_leave(&view, "i-1"),
             };
-            let Verdict::Enter(word) = verdict else { panic!("what is acknowledged is an entry") };
+            let BeatAction::Propose(word) = verdict else { panic!("what is acknowledged is an entry") };
             view.apply(view.index + 1, &word);
             // Here, and at a leader elected since, that has heard nothing of it.
             take(&mut view, &mut registry, 30, "i-1", &up);
             take(&mut view, &mut Registry::default(), 40, "i-1", &up);
-            let open = view.nodes.get("i-1").is_some_and(|node| view.standing(node).0);
+            let open = view.nodes.get("i-1").is_some_and(|node| view.eligibility(node).0);
             assert!(!open, "it gets requests again: known before {known}, drains {drains}");
-            assert!(view.knows_that_it_leaves("i-1"));
+            assert!(view.is_leaving("i-1"));
         }
     }
 }
@@ -168,7 +170,7 @@
         "{",
         r#"{"target":"s","address":"x","zone":"a","revision":"v","capacity":1,"state":"available"}"#,
     ] {
-        assert!(matches!(Beat::read(wrong.as_bytes()), Err(Kind::BadBeat(_))), "{wrong}");
+        assert!(matches!(Beat::parse(wrong.as_bytes()), Err(ErrorKind::InvalidBeat(_))), "{wrong}");
     }
 }
 
@@ -180,9 +182,9 @@
             let (view, mut registry) = (configured(1), Registry::default());
             for id in 1..=edges {
                 let zone = ["a", "b", "c"][id as usize % 3];
-                registry.edge(100, edge(id, zone, if zone == "c" { "south" } else { "north" }), 0);
+                registry.record_edge(100, edge(id, zone, if zone == "c" { "south" } else { "north" }), 0);
             }
-            let deal = registry.deal(100, &view, service, "a");
+            let deal = registry.allocate_warmup(100, &view, service, "a");
             let sum: u32 = deal.iter().map(|(_, part)| part).sum();
             assert_eq!(sum, if edges == 0 { 0 } else { bears }, "{edges} edges, {service}: {deal:?}");
             let named: std::collections::BTreeSet<_> = deal.iter().map(|(id, _)| id).collect();
@@ -194,11 +196,11 @@
 #[test]
 fn a_zone_taken_back_is_cold_whatever_its_marshals_said_before() {
     let (mut view, mut registry) = (configured(1), Registry::default());
-    registry.edge(0, edge(1, "a", "north"), 0);
+    registry.record_edge(0, edge(1, "a", "north"), 0);
     take(&mut view, &mut registry, 10, "i-1", &beat("s", "10.0.0.9:80", "available", 0.0, 1));
     let on = Command::Evacuate { zone: "a".into(), on: true, sure: false, deals: Vec::new() };
     view.apply(view.index + 1, &on);
-    let back = registry.take_back(1_000, &view, "a", &|_| 3.0);
+    let back = registry.restore_zone(1_000, &view, "a", &|_| 3.0);
     view.apply(view.index + 1, &back);
     // A beat that was on its way says that it is warm.
     assert!(!take(&mut view, &mut registry, 1_100, "i-1", &beat("s", "10.0.0.9:80", "available", 0.0, 2)));
@@ -258,12 +260,12 @@
 #[test]
 fn a_new_leader_warms_nobody_that_it_has_only_read_of() {
     let (mut view, mut before) = (configured(1), Registry::default());
-    before.edge(0, edge(1, "a", "north"), 0);
+    before.record_edge(0, edge(1, "a", "north"), 0);
     take(&mut view, &mut before, 10, "i-1", &beat("s", "10.0.0.9:80", "available", 3.0, 1));
     assert!(matches!(view.nodes["i-1"].phase, Phase::Cold(_)));
     let mut leader = Registry::default();
-    leader.lead(100, &View::default(), &|_| 3.0);
-    leader.heard(110, &["i-1".into()]);
+    leader.become_leader(100, &View::default(), &|_| 3.0);
+    leader.record_heard(110, &["i-1".into()]);
     assert!(leader.sweep(120, &view, 60_000, &|_| 3.0).is_empty());
     assert_eq!(leader.sweep(3_200, &view, 60_000, &|_| 3.0), [Command::NodeWarm { id: "i-1".into() }]);
 }
@@ -276,12 +278,12 @@
         take(&mut view, &mut registry, 10, &format!("i-{at}"), &beat("s", &address, "available", 0.0, 1));
     }
     let ids = |range: std::ops::Range<u32>| range.map(|at| format!("i-{at}")).collect::<Vec<_>>();
-    registry.heard(6_000, &ids(0..4));
+    registry.record_heard(6_000, &ids(0..4));
     assert!(
         registry.sweep(7_000, &view, 5_000, &|_| 3.0).is_empty(),
         "six of ten silent: this side doesn't hear"
     );
-    registry.heard(7_000, &ids(4..8));
+    registry.record_heard(7_000, &ids(4..8));
     let gone = registry.sweep(7_000, &view, 5_000, &|_| 3.0);
     assert_eq!(gone.len(), 2, "{gone:?}");
     for command in &gone {
@@ -324,7 +326,7 @@
     assert_eq!(view.trial(&new).map(|roll| (roll.number, roll.stage)), Some((4, 2)));
     view.apply(9, &Command::Settle { service: "s".into(), number: 4, good: true });
     view.apply(10, &Command::Settle { service: "s".into(), number: 4, good: false });
-    assert_eq!(view.rollouts["s"].state, State::Completed);
+    assert_eq!(view.rollouts["s"].state, RollOutState::Completed);
     assert!(view.in_service(&new) && !view.in_service(&node));
     let kept: BTreeMap<_, _> = view.settled.clone();
     assert_eq!((kept["s"].as_str(), view.revision), ("v2", 1), "a stage is no version of the configuration");
@@ -342,8 +344,8 @@
         let now = 10_000 + step * 500;
         life += u64::from(step % 50 == 49);
         let ready = step % 20 < 15;
-        near.edge(now, EdgeStatus { ready, life, ..edge(7, "a", "north") }, 0);
-        near.edge(now, EdgeStatus { ready: true, ..edge(8, "b", "north") }, 0);
+        near.record_edge(now, EdgeStatus { ready, life, ..edge(7, "a", "north") }, 0);
+        near.record_edge(now, EdgeStatus { ready: true, ..edge(8, "b", "north") }, 0);
         let (whole, still) = near.gossip(now, &mut told);
         (wholes, stills) = (wholes + whole.len(), stills + still.len());
         if step % 7 == 3 {
@@ -351,18 +353,20 @@
             far = Registry::default();
             continue;
         }
-        whole.into_iter().for_each(|(heard, ago)| far.edge(now, heard, ago));
-        still.iter().for_each(|it| far.edge_heartbeat(now, it));
-        let believed: Vec<(u32, u64)> = far.ready(now).iter().map(|heard| (heard.id, heard.life)).collect();
-        let true_now: Vec<(u32, u64)> = near.ready(now).iter().map(|heard| (heard.id, heard.life)).collect();
+        whole.into_iter().for_each(|(heard, ago)| far.record_edge(now, heard, ago));
+        still.iter().for_each(|it| far.record_edge_heartbeat(now, it));
+        let believed: Vec<(u32, u64)> =
+            far.ready_edges(now).iter().map(|heard| (heard.id, heard.life)).collect();
+        let true_now: Vec<(u32, u64)> =
+            near.ready_edges(now).iter().map(|heard| (heard.id, heard.life)).collect();
         assert_eq!(believed, true_now, "step {step}");
     }
     assert!(stills > 3 * wholes, "{wholes} in whole, {stills} by number");
     // Another life is not kept alive by the earlier one's number.
     let mut registry = Registry::default();
-    registry.edge(1, EdgeStatus { life: 2, ..edge(7, "a", "north") }, 0);
-    registry.edge_heartbeat(2_000, &EdgeHeartbeat { id: 7, life: 1, ready: true, ago: 0 });
-    assert!(registry.ready(2_000).is_empty());
+    registry.record_edge(1, EdgeStatus { life: 2, ..edge(7, "a", "north") }, 0);
+    registry.record_edge_heartbeat(2_000, &EdgeHeartbeat { id: 7, life: 1, ready: true, ago: 0 });
+    assert!(registry.ready_edges(2_000).is_empty());
 }
 
 /// What an earlier version took holds, though it would be refused today: in a state on disk, in the log, and as what the next
@@ -370,13 +374,13 @@
 #[test]
 fn an_agreed_configuration_holds_whatever_is_refused_today() {
     let old = String::from_utf8(body(7, 1)).unwrap().replacen("\"guardS\":5", "\"guardS\":0", 1);
-    assert!(Configuration::read(old.as_bytes()).is_err(), "it is refused today");
+    assert!(Configuration::parse(old.as_bytes()).is_err(), "it is refused today");
     let mut view = View::default();
-    let command = view.to_configure(7, old.as_bytes()).unwrap();
+    let command = view.configure_command(7, old.as_bytes()).unwrap();
     assert_eq!(view.apply(1, &command), Outcome::Done);
-    let mut again = View::unpacked(&view.packed()).unwrap();
+    let mut again = View::from_compressed(&view.to_compressed()).unwrap();
     assert_eq!((again.revision, &*again.body), (7, &old.into_bytes()));
-    let next = again.to_configure(8, &body(8, 1)).unwrap();
+    let next = again.configure_command(8, &body(8, 1)).unwrap();
     assert_eq!(again.apply(2, &next), Outcome::Done);
     assert_eq!(again.configuration().unwrap().revision, 8);
 }
@@ -388,7 +392,7 @@
         let (mut view, mut registry) = (configured(1), Registry::default());
         let cold = beat("s", "10.1.0.1:80", "available", 3.0, 1);
         assert!(take(&mut view, &mut registry, 1, "i-1", &cold));
-        let back = registry.take_back(2, &view, "a", &|_| told);
+        let back = registry.restore_zone(2, &view, "a", &|_| told);
         assert!(matches!(back, Command::Evacuate { on: false, .. }));
         let mut warm = |now| {
             let entered = registry.sweep(now, &view, u64::MAX, &|_| told);
--- a/crates/replicated-state/tests/take_back.rs
+++ b/crates/replicated-state/tests/take_back.rs
@@ -1,7 +1,7 @@
 //! A zone is emptied and taken back while the lead changes hands, at each pair of moments: its marshals have turned cold just before, and
 //! their reports do not say so yet. Nobody may enter that they are warm before their warm-up is over.
 
-use milletwing_replicated_state::registry::Verdict;
+use milletwing_replicated_state::registry::BeatAction;
 use milletwing_replicated_state::{Beat, Command, EdgeStatus, Phase, Registry, View};
 
 /// Milliseconds of one step.
@@ -28,7 +28,7 @@
         fold(&mut view, configured, configured.len());
         let ingress = "10.0.0.20:80".parse().unwrap();
         let (zone, region) = ("a".into(), "north".into());
-        registry.edge(0, EdgeStatus { id: 20, zone, region, ingress, ready: true, life: 1 }, 0);
+        registry.record_edge(0, EdgeStatus { id: 20, zone, region, ingress, ready: true, life: 1 }, 0);
         Machine { view, registry }
     }
 }
@@ -50,13 +50,13 @@
         r#"{{"target":"s","address":"10.0.0.9:80","zone":"a","revision":"v1","capacity":2,"state":"available",
         "warmupLeftS":{left_s},"callCounter":{number}}}"#
     );
-    Beat::read(text.as_bytes()).unwrap()
+    Beat::parse(text.as_bytes()).unwrap()
 }
 
 fn configuration() -> Command {
     let body = br#"{"revision":1,"routing":{"r":{"domain":"h","pathPrefix":"/p/","trafficClass":"idempotent","guardS":5,"target":"s"}},
         "targets":{"s":{"maxSessions":110,"warmupS":3.0,"warmupPerS":2.6}},"thresholds":{}}"#;
-    View::default().to_configure(1, body).unwrap()
+    View::default().configure_command(1, body).unwrap()
 }
 
 /// Plays one case. `lag`: steps after which the machine that does not lead folds what was agreed; it may come to lead before. Gives the steps
@@ -66,7 +66,7 @@
     let mut machines = [Machine::new(&log), Machine::new(&log)];
     let mut lengths = Vec::new();
     let (mut leads, mut warm_at) = (0, Vec::new());
-    machines[0].registry.lead(0, &machines[0].view, &warm_up);
+    machines[0].registry.become_leader(0, &machines[0].view, &warm_up);
     for step in 1..END {
         let now = step * STEP_MS;
         lengths.push(log.len());
@@ -75,10 +75,10 @@
             fold(&mut machine.view, &log, lengths[lengths.len() - 1 - behind]);
         }
         for _ in hand_overs.iter().filter(|at| **at == step) {
-            machines[leads].registry.follow();
+            machines[leads].registry.become_follower();
             leads = 1 - leads;
             let Machine { view, registry } = &mut machines[leads];
-            registry.lead(now, view, &warm_up);
+            registry.become_leader(now, view, &warm_up);
         }
         let mut entered = Vec::new();
         match step {
@@ -88,7 +88,7 @@
             TAKEN_BACK => {
                 let Machine { view, registry } = &mut machines[leads];
                 fold(view, &log, log.len());
-                entered.push(registry.take_back(now, view, "a", &warm_up));
+                entered.push(registry.restore_zone(now, view, "a", &warm_up));
             }
             _ => {}
         }
@@ -97,8 +97,8 @@
             let beat = report(step, if step == 1 { 1.0 } else { 0.0 });
             for at in [1 - leads, leads] {
                 let Machine { view, registry } = &mut machines[at];
-                let verdict = registry.beat(now, view, "i-1", &beat);
-                if let (Verdict::Enter(command), true) = (verdict, at == leads) {
+                let verdict = registry.handle_beat(now, view, "i-1", &beat);
+                if let (BeatAction::Propose(command), true) = (verdict, at == leads) {
                     entered.push(command);
                 }
             }
--- a/crates/routing/src/intent.rs
+++ b/crates/routing/src/intent.rs
@@ -1,13 +1,13 @@
 //! What an edge is to route by, in the same words as what it does route by: `core` from the state that was agreed, and
 //! [`Router::reflect`](crate::Router::reflect) from the tables in use.
 
-use milletwing_drift_detection::{Part, Sink};
-use milletwing_replicated_state::{Phase, State, View};
+use milletwing_drift_detection::{LeafSink, Part};
+use milletwing_replicated_state::{Phase, RollOutState, View};
 use std::collections::BTreeSet;
 
 /// A marshal's life.
 pub fn host(
-    sink: &mut impl Sink,
+    sink: &mut impl LeafSink,
     id: &str,
     service: &str,
     address: std::net::SocketAddrV4,
@@ -19,35 +19,35 @@
 }
 
 /// What an edge may send to a cold marshal in any second.
-pub fn deal(sink: &mut impl Sink, id: &str, part: u32) {
+pub fn deal(sink: &mut impl LeafSink, id: &str, part: u32) {
     if part > 0 {
         sink.leaf(Part::Deals, id, &[&part.to_be_bytes()]);
     }
 }
 
 /// A trial's stage.
-pub fn trial(sink: &mut impl Sink, service: &str, number: u64, stage: u32) {
+pub fn trial(sink: &mut impl LeafSink, service: &str, number: u64, stage: u32) {
     sink.leaf(Part::Trials, service, &[&number.to_be_bytes(), &stage.to_be_bytes()]);
 }
 
 /// All but the routes and the deals, as they were agreed.
-pub fn core(view: &View, sink: &mut impl Sink) {
+pub fn core(view: &View, sink: &mut impl LeafSink) {
     let mut services = BTreeSet::new();
     for (id, node) in &view.nodes {
-        let (open, new) = view.standing(node);
+        let (open, new) = view.eligibility(node);
         host(sink, id, &node.target, node.address, (open, new, matches!(node.phase, Phase::Cold(_))));
         services.insert(node.target.as_str());
     }
     for (service, roll) in &view.rollouts {
         // An edge that knows no marshal of a service holds no trial of it.
-        if roll.state == State::Active && services.contains(service.as_str()) {
+        if roll.state == RollOutState::Active && services.contains(service.as_str()) {
             trial(sink, service, roll.number, roll.stage);
         }
     }
 }
 
 /// The deals of one edge, as they were agreed.
-pub fn deals(view: &View, edge: u32, sink: &mut impl Sink) {
+pub fn deals(view: &View, edge: u32, sink: &mut impl LeafSink) {
     for (id, node) in &view.nodes {
         if let Phase::Cold(dealt) = &node.phase {
             deal(sink, id, dealt.iter().find(|(whom, _)| *whom == edge).map_or(0, |(_, part)| *part));
--- a/crates/routing/src/router/outcome.rs
+++ b/crates/routing/src/router/outcome.rs
@@ -83,7 +83,7 @@
         let certain = matches!(result, Ended::TurnedAway | Ended::Moved | Ended::Unreached | Ended::Unsent);
         // Guards against running twice: what is not repeatable goes on only where it certainly has not run.
         let may =
-            if ticket.route.class.repeatable() { result != Ended::Served } else { certain && !ticket.ran };
+            if ticket.route.class.is_retry_safe() { result != Ended::Served } else { certain && !ticket.ran };
         let tries = ticket.sent < self.max_tries(&ticket.route);
         may && tries && ticket.missed <= MISSES && now < ticket.deadline
     }
--- a/crates/routing/src/router/pick.rs
+++ b/crates/routing/src/router/pick.rs
@@ -7,28 +7,28 @@
 use crate::table::Route;
 use crate::trial::{Out, Trial};
 use crate::Time;
-use milletwing_config::Kind;
+use milletwing_config::ErrorKind;
 use milletwing_sequential_test::LAST;
 use rand::Rng;
 use std::rc::Rc;
 
 impl Router {
     /// A request came. Errors: no configuration, no route, or no known key where the route needs one.
-    pub fn arrive(&mut self, now: Time, head: Head<'_>) -> Result<Ticket, Kind> {
+    pub fn arrive(&mut self, now: Time, head: Head<'_>) -> Result<Ticket, ErrorKind> {
         if self.of.is_none() {
-            return Err(Kind::NotReady);
+            return Err(ErrorKind::NotConfigured);
         }
         // Guards against a refusal for good by what is known no longer.
-        let unless_newer = |kind| if self.out_of_touch(now) { Kind::OutOfTouch } else { kind };
-        let route = self.table.find(head.host, head.path).ok_or_else(|| unless_newer(Kind::NoRoute))?;
+        let unless_newer = |kind| if self.out_of_touch(now) { ErrorKind::CoreUnreachable } else { kind };
+        let route = self.table.find(head.host, head.path).ok_or_else(|| unless_newer(ErrorKind::NoRoute))?;
         let route = Rc::clone(route);
         let tenant = if self.table.tenants.any() && !route.keyless {
             let found = head.key.and_then(|key| self.table.tenants.find(key));
-            Some(Rc::clone(found.ok_or_else(|| unless_newer(Kind::UnknownKey))?))
+            Some(Rc::clone(found.ok_or_else(|| unless_newer(ErrorKind::Unauthorized))?))
         } else {
             None
         };
-        let service = Rc::clone(route.service(self.chance.random()).ok_or(Kind::NoMarshal)?);
+        let service = Rc::clone(route.service(self.chance.random()).ok_or(ErrorKind::NoReachableMarshal)?);
         let mut new = false;
         if let Some(service) = self.services.get_mut(&service) {
             service.budget.request(now);
@@ -64,13 +64,17 @@
 
     /// Picks a marshal for a first sending, or for a further one. Errors: the request's time or its tries are used up, no
     /// marshal may be sent to, or the budget of further tries is spent.
-    pub fn pick(&mut self, now: Time, ticket: &mut Ticket) -> Result<Sending, Kind> {
+    pub fn pick(&mut self, now: Time, ticket: &mut Ticket) -> Result<Sending, ErrorKind> {
         if now >= ticket.deadline {
-            return Err(if ticket.ran { Kind::Silent } else { Kind::Expired });
+            return Err(if ticket.ran { ErrorKind::ResponseTimeout } else { ErrorKind::DeadlineExceeded });
         }
         // The one place that owns the limit: whoever asks for a further sending is refused here, whatever was decided earlier.
         if ticket.sent >= self.max_tries(&ticket.route) {
-            return Err(if ticket.ran { Kind::Broken } else { Kind::TurnedAway });
+            return Err(if ticket.ran {
+                ErrorKind::MarshalDisconnected
+            } else {
+                ErrorKind::RejectedByMarshal
+            });
         }
         let key = self.cheapest(now, ticket)?;
         if ticket.sent > 0 {
@@ -80,10 +84,12 @@
     }
 
     /// The marshal at which a request costs least, of two drawn from each reach; of all, where none of those may be sent to.
-    fn cheapest(&mut self, now: Time, ticket: &Ticket) -> Result<u64, Kind> {
+    fn cheapest(&mut self, now: Time, ticket: &Ticket) -> Result<u64, ErrorKind> {
         let out_of_touch = self.out_of_touch(now);
-        let Some(service) = self.services.get(&ticket.service) else { return Err(Kind::NoMarshal) };
-        let repeatable = ticket.route.class.repeatable();
+        let Some(service) = self.services.get(&ticket.service) else {
+            return Err(ErrorKind::NoReachableMarshal);
+        };
+        let repeatable = ticket.route.class.is_retry_safe();
         let kilobytes = self.weight.get(&ticket.route.name).copied().unwrap_or(4.0);
         let target = ticket.route.target as f64;
         // Under pressure room is left for what goes before; never less than what marshals work on at once and as much again.
@@ -160,26 +166,30 @@
             // The earlier version serves what the new one can't.
             service.reach.iter().flatten().for_each(|key| weigh(*key, None, &mut best, &mut full));
         }
-        let none = if full { Kind::Full } else { Kind::NoMarshal };
-        best.map(|(_, key)| key).ok_or(if ticket.ran { Kind::Broken } else { none })
+        let none = if full { ErrorKind::AtCapacity } else { ErrorKind::NoReachableMarshal };
+        best.map(|(_, key)| key).ok_or(if ticket.ran { ErrorKind::MarshalDisconnected } else { none })
     }
 
     /// Takes a further sending from this edge's part of the budget.
-    fn spend_retry(&mut self, now: Time, ticket: &Ticket) -> Result<(), Kind> {
+    fn spend_retry(&mut self, now: Time, ticket: &Ticket) -> Result<(), ErrorKind> {
         let ratio = self.bounds.retryBudgetRatio * BUDGET_PART;
         let slack = self.bounds.retrySlack * BUDGET_PART / (self.edges + 2.0);
-        let Some(service) = self.services.get_mut(&ticket.service) else { return Err(Kind::NoMarshal) };
+        let Some(service) = self.services.get_mut(&ticket.service) else {
+            return Err(ErrorKind::NoReachableMarshal);
+        };
         if service.budget.take(now, ratio, slack) {
             return Ok(());
         }
-        Err(if ticket.ran { Kind::Broken } else { Kind::TurnedAway })
+        Err(if ticket.ran { ErrorKind::MarshalDisconnected } else { ErrorKind::RejectedByMarshal })
     }
 
     /// Counts a sending that goes to this marshal now.
-    fn begin(&mut self, now: Time, ticket: &mut Ticket, key: u64) -> Result<Sending, Kind> {
-        let Some(service) = self.services.get_mut(&ticket.service) else { return Err(Kind::NoMarshal) };
+    fn begin(&mut self, now: Time, ticket: &mut Ticket, key: u64) -> Result<Sending, ErrorKind> {
+        let Some(service) = self.services.get_mut(&ticket.service) else {
+            return Err(ErrorKind::NoReachableMarshal);
+        };
         let connections = connections(service.connections, self.edges);
-        let Some(marshal) = self.marshals.get_mut(&key) else { return Err(Kind::NoMarshal) };
+        let Some(marshal) = self.marshals.get_mut(&key) else { return Err(ErrorKind::NoReachableMarshal) };
         marshal.send(now);
         self.sendings += 1;
         let number = self.sendings;
@@ -197,7 +207,7 @@
 
     /// Milliseconds after which a repeatable request without an answer is sent to a second marshal as well.
     pub fn patience(&self, ticket: &Ticket, sending: &Sending) -> Option<Time> {
-        if !ticket.route.class.repeatable() || ticket.sent >= self.max_tries(&ticket.route) {
+        if !ticket.route.class.is_retry_safe() || ticket.sent >= self.max_tries(&ticket.route) {
             return None;
         }
         let mean = self.marshals.get(&sending.marshal).map_or(0.0, |marshal| marshal.mean);
--- a/crates/routing/src/router/tables.rs
+++ b/crates/routing/src/router/tables.rs
@@ -8,15 +8,15 @@
 use crate::table::Table;
 use crate::trial::Trial;
 use crate::Time;
-use milletwing_drift_detection::Sink;
-use milletwing_replicated_state::{State, View};
+use milletwing_drift_detection::LeafSink;
+use milletwing_replicated_state::{RollOutState, View};
 use milletwing_sequential_test::UNSCORED;
 use std::rc::Rc;
 use std::sync::Arc;
 
 impl Router {
     /// What it routes by, from the tables in use.
-    pub fn reflect(&self, sink: &mut impl Sink) {
+    pub fn reflect(&self, sink: &mut impl LeafSink) {
         self.table.reflect(sink);
         // As picks find them: from the lists of each service.
         for (name, service) in &self.services {
@@ -77,7 +77,7 @@
             }
             self.hosts.insert(marshal.observed.host, key);
             marshal.phase(&node.phase, self.place.id);
-            (marshal.open, marshal.new) = view.standing(node);
+            (marshal.open, marshal.new) = view.eligibility(node);
             marshal.look = view.suspected.get(id).is_some_and(|looks| looks.contains(&self.place.id));
             let sessions =
                 self.of.as_ref().and_then(|it| it.targets.get(&node.target)).map_or(64, |it| it.max_sessions);
@@ -101,7 +101,7 @@
 
     fn trials(&mut self, now: Time, view: &View) {
         for (name, service) in &mut self.services {
-            let roll = view.rollouts.get(name.as_ref()).filter(|roll| roll.state == State::Active);
+            let roll = view.rollouts.get(name.as_ref()).filter(|roll| roll.state == RollOutState::Active);
             let Some(roll) = roll else {
                 service.trial = None;
                 continue;
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -3,9 +3,9 @@
 use crate::tenants::{Salt, Tenants};
 use ahash::RandomState;
 use hashbrown::HashMap;
-use milletwing_config::configuration::{host, Class};
+use milletwing_config::configuration::{normalize_host, TrafficClass};
 use milletwing_config::Configuration;
-use milletwing_drift_detection::{Part, Sink};
+use milletwing_drift_detection::{LeafSink, Part};
 use std::rc::Rc;
 
 /// A route as requests need it.
@@ -16,7 +16,7 @@
     /// How the path begins.
     pub prefix: String,
     /// What may be done with its requests.
-    pub class: Class,
+    pub class: TrafficClass,
     /// Milliseconds for which a request may be held.
     pub guard: u64,
     /// Milliseconds inside which an answer earns its full worth.
@@ -35,7 +35,7 @@
 
 impl Route {
     /// All that matters about it, under the host by which it is found.
-    fn reflect(&self, host: &str, sink: &mut impl Sink) {
+    fn reflect(&self, host: &str, sink: &mut impl LeafSink) {
         let class = [crate::trial::place(self.class) as u8, u8::from(self.keyless)];
         let numbers = [self.guard, self.target, u64::from(self.rank), u64::from(self.tries)];
         let numbers = numbers.map(u64::to_be_bytes).concat();
@@ -89,7 +89,7 @@
                 regions: route.serving_regions.clone(),
                 keyless: route.keyless,
             };
-            table.hosts.entry(host(&route.domain)).or_default().push(Rc::new(own));
+            table.hosts.entry(normalize_host(&route.domain)).or_default().push(Rc::new(own));
         }
         for routes in table.hosts.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
@@ -98,7 +98,7 @@
     }
 
     /// All routes and tenants, as they are looked up.
-    pub fn reflect(&self, sink: &mut impl Sink) {
+    pub fn reflect(&self, sink: &mut impl LeafSink) {
         self.tenants.reflect(sink);
         for (host, routes) in &self.hosts {
             for route in routes {
@@ -111,7 +111,7 @@
     pub fn find(&self, given: &str, path: &str) -> Option<&Rc<Route>> {
         let routes = match self.hosts.get(given) {
             Some(routes) => routes,
-            None => self.hosts.get(&host(given))?,
+            None => self.hosts.get(&normalize_host(given))?,
         };
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
--- a/crates/routing/src/tenants.rs
+++ b/crates/routing/src/tenants.rs
@@ -4,7 +4,7 @@
 use hashbrown::HashMap;
 use milletwing_config::configuration::Subscriber;
 use milletwing_config::Configuration;
-use milletwing_drift_detection::{Part, Sink};
+use milletwing_drift_detection::{LeafSink, Part};
 use sha2::{Digest, Sha256};
 use std::rc::Rc;
 
@@ -65,7 +65,7 @@
     }
 
     /// All that matters about each, without its keys.
-    pub fn reflect(&self, sink: &mut impl Sink) {
+    pub fn reflect(&self, sink: &mut impl LeafSink) {
         for tenant in &self.all {
             let rank = tenant.rank.map_or([0xff; 4], u32::to_be_bytes);
             let mut about: Vec<&[u8]> = vec![&rank, &tenant.keys];
--- a/crates/routing/src/trial.rs
+++ b/crates/routing/src/trial.rs
@@ -5,7 +5,7 @@
 use crate::canary::Canaries;
 use crate::Time;
 use hashbrown::HashMap;
-use milletwing_config::configuration::Class;
+use milletwing_config::configuration::TrafficClass;
 use milletwing_replicated_state::RollOut;
 use milletwing_sequential_test::{
     cap, clock, pace, Exposure, Hold, Report, Sums, Vote, Watch, CLASSES, COIN, COVARIATE_SPAN, LAST,
@@ -22,11 +22,11 @@
 const RECENT: usize = 1024;
 
 /// Where a class of requests stands among the sums.
-pub fn place(class: Class) -> usize {
+pub fn place(class: TrafficClass) -> usize {
     match class {
-        Class::Idempotent => 0,
-        Class::NonIdempotent => 1,
-        Class::Downlink => 2,
+        TrafficClass::Idempotent => 0,
+        TrafficClass::NonIdempotent => 1,
+        TrafficClass::Downlink => 2,
     }
 }
 
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct Out {
     /// What may be done with its request.
-    pub class: Class,
+    pub class: TrafficClass,
     /// To the new version.
     pub new: bool,
     /// Fixed before the send.
@@ -113,7 +113,7 @@
     }
 
     /// A request of the service came.
-    pub fn request(&mut self, now: Time, class: Class) {
+    pub fn request(&mut self, now: Time, class: TrafficClass) {
         self.lately.request(now);
         self.exposure.request();
         self.counts[place(class)] += 1.0;
@@ -121,7 +121,15 @@
 
     /// Whether a request goes to the new version: the coin, within what this edge may expose. `draw`: from 0 to below 1.
     /// `share`, `slack`: the bounds of the rules, the slack this edge's own part. `heard`: the core was heard lately.
-    pub fn heads(&mut self, now: Time, class: Class, draw: f64, share: f64, slack: f64, heard: bool) -> bool {
+    pub fn heads(
+        &mut self,
+        now: Time,
+        class: TrafficClass,
+        draw: f64,
+        share: f64,
+        slack: f64,
+        heard: bool,
+    ) -> bool {
         if self.stage >= LAST {
             return true;
         }
@@ -130,7 +138,7 @@
             return false;
         }
         // Guards against exposing more and more on the word of a core that may have sent the version back since.
-        if !heard || (self.stage == 0 && !class.repeatable()) {
+        if !heard || (self.stage == 0 && !class.is_retry_safe()) {
             return false;
         }
         let cap = cap(self.stage, share);
@@ -140,7 +148,7 @@
     }
 
     /// The earlier version's mean score of a class over the second before now.
-    pub fn covariate(&mut self, now: Time, class: Class) -> f64 {
+    pub fn covariate(&mut self, now: Time, class: TrafficClass) -> f64 {
         let lane = &mut self.recent[place(class)];
         while lane.front().is_some_and(|(at, _)| at + COVARIATE_SPAN < now) {
             lane.pop_front();
@@ -182,7 +190,15 @@
         }
     }
 
-    fn outcome(&mut self, now: Time, class: Class, new: bool, bad: bool, covariate: f64, scored: bool) {
+    fn outcome(
+        &mut self,
+        now: Time,
+        class: TrafficClass,
+        new: bool,
+        bad: bool,
+        covariate: f64,
+        scored: bool,
+    ) {
         let score = f64::from(u8::from(bad));
         let class = place(class);
         if !new {
--- a/crates/routing/tests/canaries.rs
+++ b/crates/routing/tests/canaries.rs
@@ -89,7 +89,7 @@
         let mut view = on_trial();
         let hasty =
             String::from_utf8(body(2)).unwrap().replace(r#""targetS":0.3"#, &format!(r#""targetS":{aim}"#));
-        let command = view.to_configure(2, hasty.as_bytes()).unwrap();
+        let command = view.configure_command(2, hasty.as_bytes()).unwrap();
         view.apply(201, &command);
         let mut found = BTreeSet::new();
         for id in 0..9 {
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -4,7 +4,7 @@
 
 use common::{arrive, edge, node, view};
 use milletwing_config::settings::Guarantees;
-use milletwing_config::Kind;
+use milletwing_config::ErrorKind;
 use milletwing_outlier_detection::key;
 use milletwing_replicated_state::{Command, Node, Phase};
 use milletwing_routing::marshal::Load;
@@ -29,7 +29,7 @@
     for (host, path) in [("h.example", "/other/"), ("h.example", "/look"), ("g.example", "/look/x")] {
         assert_eq!(
             router.arrive(1, Head { host, path, remaining: None, key: None }).unwrap_err(),
-            Kind::NoRoute,
+            ErrorKind::NoRoute,
             "{host}{path}"
         );
     }
@@ -40,7 +40,7 @@
     );
     assert_eq!(
         fresh.arrive(1, Head { host: "h.example", path: "/other/", remaining: None, key: None }).unwrap_err(),
-        Kind::NotReady,
+        ErrorKind::NotConfigured,
         "404 only by a configuration"
     );
 }
@@ -68,7 +68,9 @@
         let (mut now, mut ticket) = (2, arrive(&mut router, 2, path));
         let (mut may_have_run, mut arrivals, mut seen) = (0, 0, BTreeSet::new());
         while let Ok(sending) = router.pick(now, &mut ticket) {
-            assert!(seen.insert(sending.id.clone()) || ticket.route.class.repeatable() || may_have_run == 0);
+            assert!(
+                seen.insert(sending.id.clone()) || ticket.route.class.is_retry_safe() || may_have_run == 0
+            );
             let at: usize = sending.id.rsplit('-').next().unwrap().parse().unwrap();
             assert!(path != "/order/x" || at % 4 < 2, "{} is outside the route's regions", sending.id);
             let end = ends[chance.random_range(0..ends.len())];
@@ -100,8 +102,8 @@
                 Ok(_) => true,
                 Err(kind) => {
                     assert_eq!(
-                        (kind.clone(), kind.answer().status, kind.answer().promise),
-                        (Kind::Full, 503, true)
+                        (kind.clone(), kind.response().status, kind.response().not_executed),
+                        (ErrorKind::AtCapacity, 503, true)
                     );
                     false
                 }
@@ -220,7 +222,7 @@
                 probes.push(now);
                 first = false;
             }
-            Err(kind) => assert_eq!(kind, Kind::NoMarshal),
+            Err(kind) => assert_eq!(kind, ErrorKind::NoReachableMarshal),
         }
     }
     let pauses: Vec<Time> = probes.windows(2).map(|pair| pair[1] - pair[0]).collect();
@@ -429,7 +431,7 @@
             parts.join(",")
         );
         let mut view = view(4);
-        let command = view.to_configure(2, body.as_bytes()).unwrap();
+        let command = view.configure_command(2, body.as_bytes()).unwrap();
         view.apply(view.index + 1, &command);
         let mut router = edge(1, &view, 1, 1);
         let mut counts = std::collections::BTreeMap::<String, usize>::new();
--- a/crates/routing/tests/drift.rs
+++ b/crates/routing/tests/drift.rs
@@ -2,7 +2,7 @@
 //! tables are turned wrong by hand. Judged after the fact: who was named when, and what was done to whom.
 
 use milletwing_config::settings::Guarantees;
-use milletwing_drift_detection::{Checker, Digest, Finding, Names, Part, Reflection, Repairer, Step};
+use milletwing_drift_detection::{Checker, Digest, Finding, LeafHashes, Part, Repairer, Step, TableDigest};
 use milletwing_replicated_state::{Command, Node, Phase, View};
 use milletwing_routing::table::Table;
 use milletwing_routing::{intent, Place, Router, Time};
@@ -95,7 +95,7 @@
             world.edges.insert(id, edge);
             world.checker.attach(1, id, 1);
         }
-        let command = world.view.to_configure(1, &body(1, 90)).unwrap();
+        let command = world.view.configure_command(1, &body(1, 90)).unwrap();
         world.enter(command, &[]);
         for at in 0..24 {
             world.enter(Command::NodeUp(node(at, 0, Phase::Warm)), &[]);
@@ -129,7 +129,7 @@
             3 => Command::Evacuate { zone: "b".into(), on: false, sure: false, deals: Vec::new() },
             4 => {
                 let revision = self.view.revision + 1;
-                self.view.to_configure(revision, &body(revision, 50 + at as u32)).unwrap()
+                self.view.configure_command(revision, &body(revision, 50 + at as u32)).unwrap()
             }
             5 => Command::RollOut { service: "s".into(), revision: "v2".into(), period_ms: 12_000 },
             _ => {
@@ -145,7 +145,7 @@
         let (now, core) = (self.now, &self.view);
         let edge = self.edges.get_mut(&id).unwrap();
         let mut other = edge.view.clone();
-        let first = core.nodes.values().find(|node| core.standing(node).0).unwrap().clone();
+        let first = core.nodes.values().find(|node| core.eligibility(node).0).unwrap().clone();
         let index = other.index;
         match way % 5 {
             // A marshal is missing.
@@ -154,7 +154,8 @@
             1 => drop(other.apply(index, &Command::NodeDrains { id: first.id })),
             // A share of a route is another.
             2 => {
-                let command = other.to_configure(other.revision + 1, &body(other.revision + 1, 7)).unwrap();
+                let command =
+                    other.configure_command(other.revision + 1, &body(other.revision + 1, 7)).unwrap();
                 drop(other.apply(index, &command));
             }
             // A marshal has another's address.
@@ -178,43 +179,43 @@
     fn tick(&mut self, mend: bool) {
         self.now += 100;
         let now = self.now;
-        if now % 200 < 100 && self.checker.index() != Some(self.view.index) {
+        if now % 200 < 100 && self.checker.last_index() != Some(self.view.index) {
             let mut digest = Digest::default();
             self.table.reflect(&mut digest);
             intent::core(&self.view, &mut digest);
-            self.checker.own(now, self.view.index, digest);
+            self.checker.record_core_digest(now, self.view.index, digest);
         }
         let ids: Vec<u32> = self.edges.keys().copied().collect();
         for id in ids {
             let edge = self.edges.get_mut(&id).unwrap();
-            let older = self.checker.heard(now, id, edge.view.index, true);
+            let older = self.checker.record_heartbeat(now, id, edge.view.index, true);
             if let Some(finding) = older {
                 self.named.entry(id).or_insert((now, finding.clone()));
-                self.repairer.told(now, id, edge.life, &edge.zone, finding);
+                self.repairer.record_finding(now, id, edge.life, &edge.zone, finding);
             }
-            if now < edge.reflected + 1_000 || self.checker.index() != Some(self.view.index) {
+            if now < edge.reflected + 1_000 || self.checker.last_index() != Some(self.view.index) {
                 continue;
             }
             edge.reflected = now;
             let mut digest = Digest::default();
             edge.router.reflect(&mut digest);
-            let reflection = Reflection { index: edge.view.index, digest };
-            let wanted = self.checker.kept(edge.view.index).copied().map(|mut wanted| {
+            let table_digest = TableDigest { index: edge.view.index, digest };
+            let wanted = self.checker.core_digest(edge.view.index).copied().map(|mut wanted| {
                 if edge.view.index != self.view.index {
-                    return wanted.like(&digest, Part::Deals);
+                    return wanted.with_part_of(&digest, Part::Deals);
                 }
                 intent::deals(&self.view, id, &mut wanted);
                 wanted
             });
-            let finding = self.checker.check(now, id, &reflection, wanted, true);
-            if finding.drift() {
+            let finding = self.checker.check(now, id, &table_digest, wanted, true);
+            if finding.is_drift() {
                 self.named.entry(id).or_insert((now, finding.clone()));
             }
-            self.repairer.told(now, id, edge.life, &edge.zone, finding);
+            self.repairer.record_finding(now, id, edge.life, &edge.zone, finding);
         }
         let ready: Vec<(u32, String)> =
             self.edges.iter().filter(|(_, it)| !it.resting).map(|(id, it)| (*id, it.zone.clone())).collect();
-        for order in self.repairer.step(now, &ready) {
+        for order in self.repairer.next_orders(now, &ready) {
             self.steps.push((now, order.edge, order.step));
             let edge = self.edges.get_mut(&order.edge).unwrap();
             match order.step {
@@ -286,7 +287,7 @@
             world.named.get(&id).unwrap_or_else(|| panic!("seed {seed}: nobody named")).clone();
         let part = if seed % 5 == 2 { Part::Routes } else { Part::Hosts };
         assert!(
-            matches!(&finding, Finding::Partial(parts) if parts.contains(&part)),
+            matches!(&finding, Finding::Mismatch(parts) if parts.contains(&part)),
             "seed {seed}: {finding:?}"
         );
         times.push(at - turned);
@@ -319,11 +320,11 @@
         gone(world, &[4]);
         gone(world, &[]);
     });
-    assert_eq!(lost, Some(Finding::Partial(vec![Part::Hosts])));
-    assert_eq!(kind(&|world| gone(world, &[4])), Some(Finding::Older));
+    assert_eq!(lost, Some(Finding::Mismatch(vec![Part::Hosts])));
+    assert_eq!(kind(&|world| gone(world, &[4])), Some(Finding::Stale));
     let ahead = kind(&|world| {
         let edge = world.edges.get_mut(&4).unwrap();
-        let command = edge.view.to_configure(99, &body(99, 3)).unwrap();
+        let command = edge.view.configure_command(99, &body(99, 3)).unwrap();
         let index = edge.view.index + 1;
         edge.view.apply(index, &command);
         edge.router.refresh(world.now, &edge.view);
@@ -339,19 +340,19 @@
     assert_eq!(order, None);
     // Beats without a word on what it routes by; and one that is not heard at all is unknown, not drifted.
     let mut checker = Checker::new(LAG);
-    checker.own(0, 7, Digest::default());
+    checker.record_core_digest(0, 7, Digest::default());
     checker.attach(0, 4, 1);
     checker.attach(0, 5, 1);
     let named: Vec<Vec<(u32, u64)>> = (1..60)
         .map(|step| {
-            checker.heard(step * 100, 4, 7, true);
-            checker.silent(step * 100)
+            checker.record_heartbeat(step * 100, 4, 7, true);
+            checker.unreporting_edges(step * 100)
         })
         .collect();
     assert!(named[..30].iter().all(Vec::is_empty) && named[58] == [(4, 1)], "{named:?}");
     // Frozen for long, it has its time anew.
-    checker.heard(20_000, 4, 7, true);
-    assert!(checker.silent(20_100).is_empty());
+    checker.record_heartbeat(20_000, 4, 7, true);
+    assert!(checker.unreporting_edges(20_100).is_empty());
 }
 
 /// What can't be mended by new tables: it leaves the directory, then ends; one at a time, never the last of its zone, and
@@ -390,7 +391,7 @@
     (1..=7).for_each(|id| world.turn(id, 0));
     let before = world.steps.len();
     (0..200).for_each(|_| world.tick(false));
-    assert!(world.repairer.alarm);
+    assert!(world.repairer.most_drifted);
     let later: Vec<_> = world.steps[before..].iter().filter(|(_, _, step)| *step != Step::Again).collect();
     assert!(later.is_empty(), "{later:?}");
 }
@@ -399,14 +400,14 @@
 fn what_differs_is_named() {
     let mut world = World::new(1, 3);
     world.turn(2, 3);
-    let (mut wanted, mut have) = (Names::default(), Names::default());
+    let (mut wanted, mut have) = (LeafHashes::default(), LeafHashes::default());
     world.table.reflect(&mut wanted);
     intent::core(&world.view, &mut wanted);
     intent::deals(&world.view, 2, &mut wanted);
     world.edges[&2].router.reflect(&mut have);
-    assert_eq!(wanted.against(&have, 8), ["hosts i-0-0 differs"]);
-    world.edges[&1].router.reflect(&mut Names::default());
-    let mut same = Names::default();
+    assert_eq!(wanted.differences(&have, 8), ["hosts i-0-0 differs"]);
+    world.edges[&1].router.reflect(&mut LeafHashes::default());
+    let mut same = LeafHashes::default();
     world.edges[&1].router.reflect(&mut same);
-    assert!(wanted.against(&same, 8).is_empty());
+    assert!(wanted.differences(&same, 8).is_empty());
 }
--- a/crates/routing/tests/outage.rs
+++ b/crates/routing/tests/outage.rs
@@ -4,7 +4,7 @@
 
 use common::{arrive, edge, node, view};
 use milletwing_config::settings::Guarantees;
-use milletwing_config::Kind;
+use milletwing_config::ErrorKind;
 use milletwing_replicated_state::{Command, Phase, View};
 use milletwing_routing::{Head, Result as Ended, Router, Time};
 
@@ -113,11 +113,14 @@
             .arrive(now, Head { host: "h.example", path: "/newer/", remaining: None, key: None })
             .unwrap_err()
     };
-    assert_eq!(refused(&mut router, 3_000), Kind::NoRoute);
+    assert_eq!(refused(&mut router, 3_000), ErrorKind::NoRoute);
     let kind = refused(&mut router, 9_000);
-    assert_eq!((kind.clone(), kind.answer().status, kind.answer().promise), (Kind::OutOfTouch, 503, true));
+    assert_eq!(
+        (kind.clone(), kind.response().status, kind.response().not_executed),
+        (ErrorKind::CoreUnreachable, 503, true)
+    );
     router.heard(9_000);
-    assert_eq!(refused(&mut router, 9_100), Kind::NoRoute);
+    assert_eq!(refused(&mut router, 9_100), ErrorKind::NoRoute);
 }
 
 /// A key that is not known may be a newer one.
@@ -130,16 +133,16 @@
         "\"subscribers\":{\"t\":{\"credentials\":[\"known\"]}},\"thresholds\"",
         1,
     );
-    let command = view.to_configure(2, text.as_bytes()).unwrap();
+    let command = view.configure_command(2, text.as_bytes()).unwrap();
     view.apply(9, &command);
     let mut router = edge(0, &view, 9, 1);
     let come = |router: &mut Router, now, key| {
         let head = Head { host: "h.example", path: "/look/", remaining: None, key: Some(key) };
         router.arrive(now, head).map(|ticket| ticket.tenant.map(|tenant| tenant.name.to_string()))
     };
-    assert_eq!(come(&mut router, 3_000, "newer").unwrap_err(), Kind::UnknownKey);
-    assert_eq!(come(&mut router, 9_000, "newer").unwrap_err(), Kind::OutOfTouch);
+    assert_eq!(come(&mut router, 3_000, "newer").unwrap_err(), ErrorKind::Unauthorized);
+    assert_eq!(come(&mut router, 9_000, "newer").unwrap_err(), ErrorKind::CoreUnreachable);
     assert_eq!(come(&mut router, 9_000, "known").unwrap(), Some("t".into()), "what is known still counts");
     router.heard(9_000);
-    assert_eq!(come(&mut router, 9_100, "newer").unwrap_err(), Kind::UnknownKey);
+    assert_eq!(come(&mut router, 9_100, "newer").unwrap_err(), ErrorKind::Unauthorized);
 }
--- a/crates/routing/tests/tries.rs
+++ b/crates/routing/tests/tries.rs
@@ -24,7 +24,7 @@
 fn with_limit(view: &mut View, revision: u64, limit: u32) {
     let text = String::from_utf8(body(revision)).unwrap();
     let text = text.replace(r#""maxTries":2"#, &format!(r#""maxTries":{limit}"#));
-    let command = view.to_configure(revision, text.as_bytes()).unwrap();
+    let command = view.configure_command(revision, text.as_bytes()).unwrap();
     view.apply(view.index + 1, &command);
 }
 
--- a/crates/system/src/calls.rs
+++ b/crates/system/src/calls.rs
@@ -19,7 +19,7 @@
         ("configuration", Some(("check", given))) => {
             let path = word(given, "file");
             let bytes = std::fs::read(path).map_err(|problem| format!("{path}: {problem}"))?;
-            let read = Configuration::read(&bytes).map_err(|kind| kind.to_string())?;
+            let read = Configuration::parse(&bytes).map_err(|kind| kind.to_string())?;
             println!(
                 "revision {}: {} routes, {} services",
                 read.revision,
--- a/crates/system/src/disk.rs
+++ b/crates/system/src/disk.rs
@@ -20,14 +20,14 @@
     let store = LogStore::file(Path::new(path), CACHE).map_err(|problem| wrong(&problem))?;
     let stored = store.load().map_err(|problem| wrong(&problem))?;
     let found = inspect(&stored).map_err(|problem| wrong(&problem))?;
-    let mut view = View::unpacked(&found.data).map_err(|problem| wrong(&problem))?;
+    let mut view = View::from_compressed(&found.data).map_err(|problem| wrong(&problem))?;
     let mut entries = Vec::new();
     for entry in &found.entries {
         let said = match &entry.payload {
             Payload::Blank => "a leader begins".into(),
             Payload::Members(members) => format!("members {}", names(members)),
             Payload::Data(bytes) => {
-                let command = Command::read(bytes).map_err(|problem| wrong(&problem))?;
+                let command = Command::from_bytes(bytes).map_err(|problem| wrong(&problem))?;
                 format!("{}: {:?}", brief(&command), view.apply(entry.index, &command))
             }
         };
--- a/crates/system/src/main.rs
+++ b/crates/system/src/main.rs
@@ -148,7 +148,7 @@
         }
         Some(("check-system", given)) => deploy::check(&text(given)?).map(|said| println!("{said}")),
         Some(("check-settings", given)) => {
-            let settings = Settings::read(&text(given)?)?;
+            let settings = Settings::parse(&text(given)?)?;
             println!(
                 "{} in {}: {}",
                 settings.own.node_name,
@@ -181,7 +181,7 @@
     // First of all: a signal that comes before it is listened for would end the process as if it had failed.
     let mut term = signal(SignalKind::terminate()).map_err(|problem| problem.to_string())?;
     let mut hangup = signal(SignalKind::hangup()).map_err(|problem| problem.to_string())?;
-    milletwing_config::event::start(&std::env::var("MILLETWING_LOG").unwrap_or_default());
+    milletwing_config::event::init_logging(&std::env::var("MILLETWING_LOG").unwrap_or_default());
     let path = match given.get_one::<String>("settings") {
         Some(path) => PathBuf::from(path),
         None => std::env::var_os("MILLETWING_BOOT")
@@ -189,7 +189,7 @@
             .ok_or("MILLETWING_BOOT names no settings file")?,
     };
     let text = std::fs::read_to_string(&path).map_err(|problem| format!("{}: {problem}", path.display()))?;
-    let settings = Settings::read(&text).map_err(|problem| format!("{}: {problem}", path.display()))?;
+    let settings = Settings::parse(&text).map_err(|problem| format!("{}: {problem}", path.display()))?;
     tokio::task::spawn_local(async move { while hangup.recv().await.is_some() {} });
     let leave = Box::pin(async move {
         term.recv().await;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,9 +1,9 @@
 //! What the system's processes say to each other over TCP, on the first of the internal ports of a core machine. A
-//! connection begins with a [`Greeting`]; a core machine then sends [`Peer`]s one way, an edge [`Up`]s and gets [`Down`]s.
+//! connection begins with a [`Greeting`]; a core machine then sends [`PeerMessage`]s one way, an edge [`Up`]s and gets [`Down`]s.
 
 use milletwing_config::{event, Settings};
 use milletwing_consensus::{Id, Message};
-use milletwing_drift_detection::{Digest, Finding, Names, Reflection, Sample, Step};
+use milletwing_drift_detection::{Digest, Finding, LeafHashes, Sample, Step, TableDigest};
 use milletwing_metrics::Endpoint;
 use milletwing_outlier_detection::Observed;
 use milletwing_replicated_state::{Beat, Command, EdgeHeartbeat, EdgeStatus};
@@ -18,7 +18,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Bytes of a frame: a state with such a configuration and some thousand marshals.
-pub const MOST_FRAME: usize = 16 << 20;
+pub const MAX_FRAME_BYTES: usize = 16 << 20;
 
 /// How a connection begins.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
 /// Between machines of the core.
 #[allow(missing_docs)] // each variant's line says what its fields are
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Peer {
+pub enum PeerMessage {
     /// The agreement's.
     Consensus(Message),
     /// Marshals and edges heard of, with the milliseconds since; edges in whole where something about them is new, else by
@@ -80,9 +80,9 @@
     /// `seen` as for a roll-out.
     Evacuate { order: u64, seen: u64, zone: String, on: bool },
     /// How far is the log, for certain?
-    Read,
+    ReadIndex,
     /// This machine is to stop: may it?
-    Retire { id: Id },
+    RequestStop { id: Id },
 }
 
 /// How it ended.
@@ -93,17 +93,17 @@
     /// It was refused: the status and the reason.
     Refused(u16, String),
     /// Nobody can say: it may hold now, or later, or never.
-    Unsure,
+    Unknown,
     /// It was not taken, and never will be: no leader was there to take it.
-    NotTaken,
+    NotAccepted,
     /// It was not taken, and never will be: it was held up, and a later order stands.
-    Outdated,
+    Superseded,
 }
 
 impl Answer {
     /// Whether it is certain that nothing was taken, and that nothing will be.
-    pub fn not_taken(&self) -> bool {
-        matches!(self, Answer::NotTaken | Answer::Outdated)
+    pub fn not_applied(&self) -> bool {
+        matches!(self, Answer::NotAccepted | Answer::Superseded)
     }
 }
 
@@ -111,9 +111,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromEdge {
     /// It lives.
-    Beat(Box<EdgeReport>),
+    Report(Box<EdgeReport>),
     /// What it routes by, thing by thing, as it was asked for.
-    Names(Names),
+    LeafHashes(LeafHashes),
 }
 
 /// What an edge says of itself with a beat.
@@ -128,7 +128,7 @@
     /// What it met at hosts.
     pub observed: Vec<Observed>,
     /// What it routes by, about once a second.
-    pub reflection: Option<Reflection>,
+    pub table_digest: Option<TableDigest>,
     /// A decision of its own, now and then.
     pub sample: Option<Sample>,
 }
@@ -138,60 +138,60 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToEdge {
     /// The whole state, packed against nothing.
-    Whole(Vec<u8>),
+    Snapshot(Vec<u8>),
     /// The whole state in place of the one it has, to make all tables anew.
-    Renew(Vec<u8>),
+    Rebuild(Vec<u8>),
     /// Another step to bring it back.
     Repair(Step),
     /// What does it route by, thing by thing?
-    Names,
+    LeafHashes,
     /// Entries in order, each with its index.
     Entries(Vec<(u64, Vec<u8>)>),
     /// The core lives. `fresh`: it hears its leader; `cores`: all machines of the core; `edges`: how many take traffic;
     /// `loads`: of hosts, as far as they are new.
-    Pulse { fresh: bool, index: u64, cores: Vec<Id>, edges: u32, loads: Vec<(u32, u16)> },
+    Heartbeat { fresh: bool, index: u64, cores: Vec<Id>, edges: u32, loads: Vec<(u32, u16)> },
 }
 
 /// The internal address of a core machine.
-pub fn place(id: Id, port: u16) -> SocketAddrV4 {
+pub fn internal_address(id: Id, port: u16) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::from_bits(id), port)
 }
 
 /// A connection that notices a peer that says nothing: unacknowledged bytes end it after `patience`.
-pub async fn dial(to: SocketAddrV4, patience: Duration) -> Result<TcpStream, Error> {
+pub async fn connect(to: SocketAddrV4, patience: Duration) -> Result<TcpStream, Error> {
     let stream =
         tokio::time::timeout(patience, TcpStream::connect(to)).await.map_err(|_| ErrorKind::TimedOut)??;
-    groom(&stream, patience)?;
+    configure_stream(&stream, patience)?;
     Ok(stream)
 }
 
 /// Sets what every connection of the system has: no delay, and an end when a peer says nothing.
-pub fn groom(stream: &TcpStream, patience: Duration) -> Result<(), Error> {
+pub fn configure_stream(stream: &TcpStream, patience: Duration) -> Result<(), Error> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
     // Also while nothing is on its way: a peer without power is noticed by whoever waits for its answer.
     let probes =
         socket2::TcpKeepalive::new().with_time(Duration::from_secs(1)).with_interval(Duration::from_secs(1));
     socket.set_tcp_keepalive(&probes)?;
-    bound_unacknowledged(stream, patience)
+    set_unacknowledged_timeout(stream, patience)
 }
 
 /// Ends a connection whose sent bytes its peer has not acknowledged for so long. The time in which a live peer's window is
 /// closed, since it does not read, counts as well.
-pub fn bound_unacknowledged(stream: &TcpStream, bound: Duration) -> Result<(), Error> {
+pub fn set_unacknowledged_timeout(stream: &TcpStream, bound: Duration) -> Result<(), Error> {
     socket2::SockRef::from(stream).set_tcp_user_timeout(Some(bound))
 }
 
 /// Serves a process's metrics on the machine's own address. Where the port can't be had, the process goes on without them.
 pub async fn serve_metrics(own: Id, endpoint: Endpoint, text: impl Fn() -> String + 'static) {
-    match TcpListener::bind(place(own, endpoint.port)).await {
+    match TcpListener::bind(internal_address(own, endpoint.port)).await {
         Ok(listener) => milletwing_metrics::serve(listener, endpoint.path, text).await,
         Err(problem) => event!(MetricsUnavailable, "{endpoint}: {problem}"),
     }
 }
 
 /// A message as a frame: its length in four bytes, then the message.
-pub fn frame<T: Serialize>(message: &T) -> Vec<u8> {
+pub fn encode_frame<T: Serialize>(message: &T) -> Vec<u8> {
     let mut out = postcard::to_extend(message, vec![0; 4]).unwrap_or_default(); // plain values can't fail
     let length = (out.len().saturating_sub(4)) as u32;
     if let Some(head) = out.get_mut(..4) {
@@ -201,9 +201,9 @@
 }
 
 /// Reads a frame. Not to be given up half way. Errors: the connection's, or `InvalidData`.
-pub async fn read<T: DeserializeOwned>(from: &mut (impl AsyncRead + Unpin)) -> Result<T, Error> {
+pub async fn read_frame<T: DeserializeOwned>(from: &mut (impl AsyncRead + Unpin)) -> Result<T, Error> {
     let length = from.read_u32().await? as usize;
-    if length > MOST_FRAME {
+    if length > MAX_FRAME_BYTES {
         return Err(ErrorKind::InvalidData.into());
     }
     let mut bytes = Vec::new();
@@ -215,15 +215,15 @@
     postcard::from_bytes(&bytes).map_err(|_| ErrorKind::InvalidData.into())
 }
 
-/// Writes a frame made by [`frame`].
-pub async fn write(to: &mut (impl AsyncWrite + Unpin), frame: &[u8]) -> Result<(), Error> {
+/// Writes a frame made by [`encode_frame`].
+pub async fn write_frame(to: &mut (impl AsyncWrite + Unpin), frame: &[u8]) -> Result<(), Error> {
     to.write_all(frame).await?;
     to.flush().await
 }
 
 /// Looks at the settings file once a second, and hands it over whenever it has changed, with a signal or without one. One
 /// that is missing or can't be read changes nothing.
-pub async fn watch(path: PathBuf, mut take: impl FnMut(Settings)) {
+pub async fn watch_settings(path: PathBuf, mut take: impl FnMut(Settings)) {
     let mut before = std::fs::read_to_string(&path).ok();
     loop {
         tokio::time::sleep(Duration::from_secs(1)).await;
@@ -231,7 +231,7 @@
         if text == before {
             continue;
         }
-        match text.as_deref().map(Settings::read) {
+        match text.as_deref().map(Settings::parse) {
             Some(Ok(settings)) => {
                 take(settings);
                 event!(SettingsRead, "{}", path.display());
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,7 +1,9 @@
 //! Frames on streams in memory, and settings that are read again.
 
 use milletwing_config::Settings;
-use milletwing_wire::{frame, read, watch, write, Greeting, ToEdge, MOST_FRAME};
+use milletwing_wire::{
+    encode_frame, read_frame, watch_settings, write_frame, Greeting, ToEdge, MAX_FRAME_BYTES,
+};
 use std::cell::RefCell;
 use std::future::Future;
 use std::io::ErrorKind;
@@ -15,7 +17,7 @@
 }
 
 fn pulse() -> ToEdge {
-    ToEdge::Pulse { fresh: true, index: 9, cores: vec![1, 2, 3], edges: 8, loads: vec![(7, 3)] }
+    ToEdge::Heartbeat { fresh: true, index: 9, cores: vec![1, 2, 3], edges: 8, loads: vec![(7, 3)] }
 }
 
 #[test]
@@ -23,30 +25,30 @@
     for piece in [1, 2, 3, 5, 1_000] {
         run(async move {
             let (mut near, mut far) = duplex(64);
-            let sent = vec![pulse(), ToEdge::Names, ToEdge::Entries(vec![(4, vec![1; 500])])];
-            let bytes: Vec<u8> = sent.iter().flat_map(frame).collect();
+            let sent = vec![pulse(), ToEdge::LeafHashes, ToEdge::Entries(vec![(4, vec![1; 500])])];
+            let bytes: Vec<u8> = sent.iter().flat_map(encode_frame).collect();
             let sending = tokio::task::spawn_local(async move {
                 for part in bytes.chunks(piece) {
-                    write(&mut near, part).await.unwrap();
+                    write_frame(&mut near, part).await.unwrap();
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
             });
             for wanted in &sent {
-                assert_eq!(&read::<ToEdge>(&mut far).await.unwrap(), wanted);
+                assert_eq!(&read_frame::<ToEdge>(&mut far).await.unwrap(), wanted);
             }
             sending.await.unwrap();
-            assert_eq!(read::<ToEdge>(&mut far).await.unwrap_err().kind(), ErrorKind::UnexpectedEof);
+            assert_eq!(read_frame::<ToEdge>(&mut far).await.unwrap_err().kind(), ErrorKind::UnexpectedEof);
         });
     }
 }
 
 #[test]
 fn a_frame_cut_at_any_byte_is_no_message() {
-    let bytes = frame(&pulse());
+    let bytes = encode_frame(&pulse());
     for cut in 0..bytes.len() {
         let part = bytes[..cut].to_vec();
         run(async move {
-            let problem = read::<ToEdge>(&mut part.as_slice()).await.unwrap_err();
+            let problem = read_frame::<ToEdge>(&mut part.as_slice()).await.unwrap_err();
             assert_eq!(problem.kind(), ErrorKind::UnexpectedEof, "cut at {cut}");
         });
     }
@@ -56,8 +58,8 @@
 fn a_length_beyond_any_frame_is_refused_before_its_bytes_are_waited_for() {
     run(async {
         let (mut near, mut far) = duplex(64);
-        near.write_u32(MOST_FRAME as u32 + 1).await.unwrap();
-        let refused = tokio::time::timeout(Duration::from_secs(5), read::<ToEdge>(&mut far)).await;
+        near.write_u32(MAX_FRAME_BYTES as u32 + 1).await.unwrap();
+        let refused = tokio::time::timeout(Duration::from_secs(5), read_frame::<ToEdge>(&mut far)).await;
         assert_eq!(refused.expect("it waits").unwrap_err().kind(), ErrorKind::InvalidData);
     });
 }
@@ -65,8 +67,11 @@
 #[test]
 fn bytes_of_another_message_are_refused() {
     run(async {
-        let other = frame(&Greeting::Core(7));
-        assert_eq!(read::<ToEdge>(&mut other.as_slice()).await.unwrap_err().kind(), ErrorKind::InvalidData);
+        let other = encode_frame(&Greeting::Core(7));
+        assert_eq!(
+            read_frame::<ToEdge>(&mut other.as_slice()).await.unwrap_err().kind(),
+            ErrorKind::InvalidData
+        );
     });
 }
 
@@ -82,7 +87,7 @@
         let taken: Rc<RefCell<Vec<String>>> = Rc::default();
         let noted = Rc::clone(&taken);
         let take = move |settings: Settings| noted.borrow_mut().push(settings.own.node_name);
-        tokio::task::spawn_local(watch(watched.clone(), take));
+        tokio::task::spawn_local(watch_settings(watched.clone(), take));
         // The watcher looks once a second of the test's clock.
         for text in [text("first"), text("second"), "no settings".into(), text("second"), text("third")] {
             tokio::time::sleep(Duration::from_millis(1_500)).await;
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -4,11 +4,12 @@
 
 use milletwing_config::{Configuration, Settings};
 use milletwing_consensus::{inspect, Entry, Member, Memory, Message, Options, Payload, Role, Stored};
-use milletwing_drift_detection::{Names, Step};
+use milletwing_drift_detection::{LeafHashes, Step};
 use milletwing_outlier_detection::Observed;
 use milletwing_replicated_state::{Beat, Command, EdgeStatus, Node, Phase, View};
 use milletwing_wire::{
-    frame, read, Answer, CallId, CoreRequest, EdgeReport, FromEdge, Greeting, Peer, ToEdge,
+    encode_frame, read_frame, Answer, CallId, CoreRequest, EdgeReport, FromEdge, Greeting, PeerMessage,
+    ToEdge,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -97,7 +98,7 @@
 fn commands() -> Vec<Command> {
     let deals = vec![("i-1".into(), vec![(9, 3)])];
     vec![
-        View::default().to_configure(7, CONFIGURATION.as_bytes()).unwrap(),
+        View::default().configure_command(7, CONFIGURATION.as_bytes()).unwrap(),
         Command::NodeUp(node()),
         Command::NodeDrains { id: "i-1".into() },
         Command::NodeGone { id: "i-1".into(), silent: true },
@@ -116,10 +117,10 @@
 }
 
 fn messages() -> Vec<Message> {
-    let entry = |index| Entry { term: 2, index, payload: Payload::Data(commands()[1].bytes()) };
+    let entry = |index| Entry { term: 2, index, payload: Payload::Data(commands()[1].to_bytes()) };
     let entries =
         vec![entry(2), entry(3), Entry { term: 2, index: 4, payload: Payload::Members(vec![1, 2, 3]) }];
-    let data = view().packed();
+    let data = view().to_compressed();
     vec![
         Message::RequestVote { term: 3, early: true, last: (2, 9) },
         Message::RequestVote { term: 3, early: false, last: (2, 9) },
@@ -153,41 +154,47 @@
 fn frames_among_machines() {
     let call = CallId { life: 7, number: 5 };
     let ask = CoreRequest::Evacuate { order: 1, seen: 2, zone: "a".into(), on: true };
-    let beat = CoreRequest::Beat { id: "i-1".into(), beat: Beat::read(BEAT.as_bytes()).unwrap() };
+    let beat = CoreRequest::Beat { id: "i-1".into(), beat: Beat::parse(BEAT.as_bytes()).unwrap() };
     let said = EdgeReport {
         edge: heard(),
         index: 3,
         reports: Vec::new(),
         observed: vec![Observed::default()],
-        reflection: None,
+        table_digest: None,
         sample: None,
     };
     let mut sound = vec![
-        frame(&Greeting::Core(5)),
-        frame(&Greeting::Edge(heard(), 8)),
-        frame(&Peer::Call { call, ask }),
-        frame(&Peer::Call { call, ask: beat }),
-        frame(&Peer::Reply { call, answer: Answer::Refused(412, "stale".into()) }),
-        frame(&Peer::Gossip {
+        encode_frame(&Greeting::Core(5)),
+        encode_frame(&Greeting::Edge(heard(), 8)),
+        encode_frame(&PeerMessage::Call { call, ask }),
+        encode_frame(&PeerMessage::Call { call, ask: beat }),
+        encode_frame(&PeerMessage::Reply { call, answer: Answer::Refused(412, "stale".into()) }),
+        encode_frame(&PeerMessage::Gossip {
             nodes: vec!["i-1".into()],
             edges: vec![(heard(), 40)],
             heartbeats: Vec::new(),
         }),
-        frame(&Peer::Observed(vec![(9, 10, vec![Observed::default()])])),
-        frame(&FromEdge::Names(Names::default())),
-        frame(&FromEdge::Beat(Box::new(said))),
-        frame(&ToEdge::Whole(view().packed())),
-        frame(&ToEdge::Entries(vec![(3, commands()[1].bytes())])),
-        frame(&ToEdge::Pulse { fresh: true, index: 4, cores: vec![1, 2], edges: 9, loads: vec![(4, 5)] }),
+        encode_frame(&PeerMessage::Observed(vec![(9, 10, vec![Observed::default()])])),
+        encode_frame(&FromEdge::LeafHashes(LeafHashes::default())),
+        encode_frame(&FromEdge::Report(Box::new(said))),
+        encode_frame(&ToEdge::Snapshot(view().to_compressed())),
+        encode_frame(&ToEdge::Entries(vec![(3, commands()[1].to_bytes())])),
+        encode_frame(&ToEdge::Heartbeat {
+            fresh: true,
+            index: 4,
+            cores: vec![1, 2],
+            edges: 9,
+            loads: vec![(4, 5)],
+        }),
     ];
-    sound.extend(messages().into_iter().map(|message| frame(&Peer::Consensus(message))));
+    sound.extend(messages().into_iter().map(|message| encode_frame(&PeerMessage::Consensus(message))));
     let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
     fuzz("frames", &sound, |bytes| {
         runtime.block_on(async {
-            let _ = read::<Greeting>(&mut &bytes[..]).await;
-            let _ = read::<Peer>(&mut &bytes[..]).await;
-            let _ = read::<FromEdge>(&mut &bytes[..]).await;
-            let _ = read::<ToEdge>(&mut &bytes[..]).await;
+            let _ = read_frame::<Greeting>(&mut &bytes[..]).await;
+            let _ = read_frame::<PeerMessage>(&mut &bytes[..]).await;
+            let _ = read_frame::<FromEdge>(&mut &bytes[..]).await;
+            let _ = read_frame::<ToEdge>(&mut &bytes[..]).await;
         });
     });
 }
@@ -240,9 +247,9 @@
 
 #[test]
 fn what_a_disk_gives_back() {
-    let data = view().packed();
+    let data = view().to_compressed();
     let snapshot = milletwing_consensus::log::Snapshot { last: (1, 1), members: vec![1, 2, 3], data };
-    let entry = Entry { term: 1, index: 2, payload: Payload::Data(commands()[1].bytes()) };
+    let entry = Entry { term: 1, index: 2, payload: Payload::Data(commands()[1].to_bytes()) };
     let parts = [
         postcard::to_stdvec(&snapshot).unwrap(),
         postcard::to_stdvec(&entry).unwrap(),
@@ -265,14 +272,14 @@
 
 #[test]
 fn states_and_entries() {
-    let mut sound: Vec<Vec<u8>> = commands().iter().map(Command::bytes).collect();
-    sound.push(view().packed());
+    let mut sound: Vec<Vec<u8>> = commands().iter().map(Command::to_bytes).collect();
+    sound.push(view().to_compressed());
     fuzz("states and entries", &sound, |bytes| {
-        let _ = View::unpacked(bytes);
-        if let Ok(command) = Command::read(bytes) {
+        let _ = View::from_compressed(bytes);
+        if let Ok(command) = Command::from_bytes(bytes) {
             let mut view = view();
             view.apply(view.index + 1, &command);
-            View::unpacked(&view.packed()).unwrap();
+            View::from_compressed(&view.to_compressed()).unwrap();
         }
     });
 }
@@ -281,11 +288,11 @@
 fn beats_configurations_and_settings() {
     let sound = [BEAT, CONFIGURATION, SETTINGS].map(|text| text.as_bytes().to_vec());
     fuzz("beats, configurations and settings", &sound, |bytes| {
-        let _ = Beat::read(bytes);
-        if Configuration::read(bytes).is_ok() {
-            let command = View::default().to_configure(7, bytes).unwrap();
+        let _ = Beat::parse(bytes);
+        if Configuration::parse(bytes).is_ok() {
+            let command = View::default().configure_command(7, bytes).unwrap();
             View::default().apply(1, &command);
         }
-        let _ = Settings::read(&String::from_utf8_lossy(bytes));
+        let _ = Settings::parse(&String::from_utf8_lossy(bytes));
     });
 }
