--- a/crates/control-plane/src/calls.rs
+++ b/crates/control-plane/src/calls.rs
@@ -15,15 +15,15 @@
 /// Calls that wait for an answer.
 pub struct Calls {
     /// Drawn at the process's start.
-    life: u64,
+    incarnation: u64,
     next: u64,
     pending: HashMap<u64, Pending>,
 }
 
 impl Calls {
     /// None yet. `life`: drawn by chance at each start.
-    pub fn new(life: u64) -> Calls {
-        Calls { life, next: 0, pending: HashMap::new() }
+    pub fn new(incarnation: u64) -> Calls {
+        Calls { incarnation, next: 0, pending: HashMap::new() }
     }
 
     /// A call to a machine: the name to send with it, and where its answer comes out.
@@ -31,12 +31,14 @@
         self.next += 1;
         let (answer, wait) = oneshot::channel();
         self.pending.insert(self.next, Pending { asked, answer });
-        (CallId { life: self.life, number: self.next }, wait)
+        (CallId { incarnation: self.incarnation, number: self.next }, wait)
     }
 
     /// A machine answers. False where no call of this life waits for a word from it.
     pub fn answered(&mut self, from: Id, call: CallId, answer: Answer) -> bool {
-        if call.life != self.life || self.pending.get(&call.number).is_none_or(|it| it.asked != from) {
+        if call.incarnation != self.incarnation
+            || self.pending.get(&call.number).is_none_or(|it| it.asked != from)
+        {
             return false;
         }
         let pending = self.pending.remove(&call.number);
--- a/crates/control-plane/src/core.rs
+++ b/crates/control-plane/src/core.rs
@@ -71,7 +71,7 @@
 
 struct Feed {
     edge: u32,
-    life: u64,
+    incarnation: u64,
     /// The last entry that it was sent, and the last that it said to have folded.
     sent: u64,
     folded: u64,
@@ -384,24 +384,24 @@
                     edges.into_iter().for_each(|(edge, ago)| core.registry.record_edge(now, edge, ago));
                     heartbeats.iter().for_each(|it| core.registry.record_edge_heartbeat(now, it));
                 }
-                PeerMessage::Call { call, ask } => {
+                PeerMessage::Call { call, request } => {
                     let shared = Rc::clone(shared);
                     tokio::task::spawn_local(async move {
-                        let answer = Core::lead(&shared, ask).await;
+                        let answer = Core::lead(&shared, request).await;
                         shared.borrow().post(from, &PeerMessage::Reply { call, answer });
                     });
                 }
                 PeerMessage::Reply { call, answer } => {
                     core.calls.answered(from, call, answer); // one that nobody waits for is dropped
                 }
-                PeerMessage::Reports { edge, life, reports } => {
+                PeerMessage::Reports { edge, incarnation, reports } => {
                     if core.role == Role::Leader {
-                        core.reports(edge, life, reports);
+                        core.reports(edge, incarnation, reports);
                     }
                 }
-                PeerMessage::Drift { edge, life, zone, finding } => {
+                PeerMessage::Drift { edge, incarnation, zone, finding } => {
                     if core.role == Role::Leader {
-                        core.drift.repairer.record_finding(now, edge, life, &zone, finding);
+                        core.drift.repairer.record_finding(now, edge, incarnation, &zone, finding);
                     }
                 }
                 PeerMessage::ViewDigest(index, digest) => core.view_digest(now, from, index, &digest),
@@ -472,8 +472,8 @@
         self.calls.forget();
         self.tell_margin(now);
         self.registry.expire_edges(now);
-        for (edge, life) in self.drift.checker.unreporting_edges(now) {
-            self.found(now, edge, life, Finding::Stuck);
+        for (edge, incarnation) in self.drift.checker.unreporting_edges(now) {
+            self.found(now, edge, incarnation, Finding::Stuck);
         }
         if !self.met.is_empty() {
             let met = std::mem::take(&mut self.met).into_iter();
--- a/crates/control-plane/src/core/directory.rs
+++ b/crates/control-plane/src/core/directory.rs
@@ -39,7 +39,8 @@
         let now = self.now();
         // One that is cut off keeps what it last knew.
         let reach = if self.member.fresh(now, FRESH) { EDGE_HEARD } else { 30_000 };
-        let known = || self.registry.edges(now).filter(|(edge, _)| !self.view.is_resting(edge.id, edge.life));
+        let known =
+            || self.registry.edges(now).filter(|(edge, _)| !self.view.is_resting(edge.id, edge.incarnation));
         let ready: Vec<&EdgeStatus> =
             known().filter(|(edge, ago)| edge.ready && *ago <= reach).map(|(edge, _)| edge).collect();
         let near = ready.iter().filter(|edge| edge.region == region).map(|edge| edge.ingress).collect();
--- a/crates/control-plane/src/core/evidence.rs
+++ b/crates/control-plane/src/core/evidence.rs
@@ -18,12 +18,12 @@
             feed.folded = index;
         }
         if !reports.is_empty() {
-            self.reports(edge.id, edge.life, reports);
+            self.reports(edge.id, edge.incarnation, reports);
         }
         self.observed(now, &edge, observed);
         let fresh = self.member.fresh(now, FRESH) && !self.member.lost();
         let findings = self.drift.beat(now, &self.view, (edge.id, index), table_digest, sample, fresh);
-        let (number, life) = (edge.id, edge.life);
+        let (number, incarnation) = (edge.id, edge.incarnation);
         self.registry.record_edge(now, edge, 0);
         for finding in findings {
             if matches!(finding, Finding::Mismatch(_)) {
@@ -32,7 +32,7 @@
                     // it will be asked again
                 }
             }
-            self.found(now, number, life, finding);
+            self.found(now, number, incarnation, finding);
         }
     }
 
@@ -46,13 +46,13 @@
     }
 
     /// What this machine found of an edge that it tells: to whoever leads.
-    pub(super) fn found(&mut self, now: Time, edge: u32, life: u64, finding: Finding) {
+    pub(super) fn found(&mut self, now: Time, edge: u32, incarnation: u64, finding: Finding) {
         let zone = self.registry.edges(now).find(|(it, _)| it.id == edge).map(|(it, _)| it.zone.clone());
         let zone = zone.unwrap_or_default();
         if self.role == Role::Leader {
-            self.drift.repairer.record_finding(now, edge, life, &zone, finding);
+            self.drift.repairer.record_finding(now, edge, incarnation, &zone, finding);
         } else if let Some(leader) = self.leader {
-            self.post(leader, &PeerMessage::Drift { edge, life, zone, finding });
+            self.post(leader, &PeerMessage::Drift { edge, incarnation, zone, finding });
         }
     }
 
@@ -121,13 +121,18 @@
     pub(super) fn bring_back(&mut self, now: Time) -> Vec<Command> {
         let ready = self.registry.ready_edges(now).into_iter();
         let ready: Vec<(u32, String)> = ready
-            .filter(|edge| !self.view.is_resting(edge.id, edge.life))
+            .filter(|edge| !self.view.is_resting(edge.id, edge.incarnation))
             .map(|edge| (edge.id, edge.zone.clone()))
             .collect();
         let orders = self.drift.step(now, &ready);
         orders
             .into_iter()
-            .map(|RepairOrder { edge, life, step, why }| Command::Repair { edge, life, step, why })
+            .map(|RepairOrder { edge, incarnation, step, why }| Command::Repair {
+                edge,
+                life: incarnation,
+                step,
+                why,
+            })
             .collect()
     }
 
@@ -145,7 +150,7 @@
         }
         self.board.take(now, &observed, 0);
         self.suspect(now, edge.id, &observed, 0);
-        let (_, at, met) = self.met.entry(edge.id).or_insert((edge.life, now, Vec::new()));
+        let (_, at, met) = self.met.entry(edge.id).or_insert((edge.incarnation, now, Vec::new()));
         *at = now;
         // Bounded by what is told on four times a second; what doesn't fit is told by the edge's next requests.
         met.extend(observed.into_iter().take(1024usize.saturating_sub(met.len())));
--- a/crates/control-plane/src/core/folding.rs
+++ b/crates/control-plane/src/core/folding.rs
@@ -35,8 +35,8 @@
                         if let Command::Settle { service, good: false, .. } = &command {
                             self.reverted.insert(service.clone(), self.now());
                         }
-                        if let Command::Repair { edge, life, step, .. } = &command {
-                            repairs.push((*edge, *life, *step));
+                        if let Command::Repair { edge, life: incarnation, step, .. } = &command {
+                            repairs.push((*edge, *incarnation, *step));
                         }
                         if let Command::Evacuate { zone, on: true, .. } = &command {
                             self.emptied.insert(zone.clone(), self.now());
@@ -77,8 +77,8 @@
                 let _ = read.send(Answer::Done(index));
             }
         }
-        for (edge, life, step) in repairs {
-            self.repair(edge, life, step);
+        for (edge, incarnation, step) in repairs {
+            self.repair(edge, incarnation, step);
         }
         let ids: Vec<u64> =
             self.feeds.iter().filter(|(_, feed)| feed.sent < index).map(|(id, _)| *id).collect();
--- a/crates/control-plane/src/core/orders.rs
+++ b/crates/control-plane/src/core/orders.rs
@@ -316,7 +316,7 @@
                 return Answer::NotAccepted;
             };
             let (call, wait) = core.calls.begin(leader);
-            core.post(leader, &PeerMessage::Call { call, ask });
+            core.post(leader, &PeerMessage::Call { call, request: ask });
             wait
         };
         let before = taken.replace(true);
--- a/crates/control-plane/src/core/rollouts.rs
+++ b/crates/control-plane/src/core/rollouts.rs
@@ -76,16 +76,16 @@
     }
 
     /// What an edge tells of the trials: to whoever leads.
-    pub fn reports(&mut self, edge: u32, life: u64, reports: Vec<Report>) {
+    pub fn reports(&mut self, edge: u32, incarnation: u64, reports: Vec<Report>) {
         let now = self.now();
         if self.role == Role::Leader {
             for report in reports {
                 if let Some(trial) = self.trials.get_mut(&report.number) {
-                    trial.tally.report(now, edge, life, report);
+                    trial.tally.report(now, edge, incarnation, report);
                 }
             }
         } else if let Some(leader) = self.leader {
-            self.post(leader, &PeerMessage::Reports { edge, life, reports });
+            self.post(leader, &PeerMessage::Reports { edge, incarnation, reports });
         }
     }
 }
--- a/crates/control-plane/src/core/subscriptions.rs
+++ b/crates/control-plane/src/core/subscriptions.rs
@@ -13,8 +13,11 @@
         let (send, queue) = mpsc::channel(256);
         self.next += 1;
         let (id, now) = (self.next, self.now());
-        self.drift.checker.attach(now, edge.id, edge.life);
-        self.feeds.insert(id, Feed { edge: edge.id, life: edge.life, sent: index, folded: index, send });
+        self.drift.checker.attach(now, edge.id, edge.incarnation);
+        self.feeds.insert(
+            id,
+            Feed { edge: edge.id, incarnation: edge.incarnation, sent: index, folded: index, send },
+        );
         self.registry.record_edge(now, edge, 0);
         self.feed(id);
         (id, queue)
@@ -23,9 +26,10 @@
     /// An edge's connection has ended.
     pub fn detach(&mut self, id: u64) {
         if let Some(feed) = self.feeds.remove(&id) {
-            let other = self.feeds.values().any(|it| (it.edge, it.life) == (feed.edge, feed.life));
+            let other =
+                self.feeds.values().any(|it| (it.edge, it.incarnation) == (feed.edge, feed.incarnation));
             if !other {
-                self.drift.checker.detach(feed.edge, feed.life);
+                self.drift.checker.detach(feed.edge, feed.incarnation);
             }
         }
     }
@@ -81,14 +85,14 @@
         if cores.is_empty() {
             cores.push(self.settings.id());
         }
-        let fresh = self.member.fresh(now, FRESH) && !self.member.lost() && !self.drift.odd(now);
+        let leader_contact = self.member.fresh(now, FRESH) && !self.member.lost() && !self.drift.odd(now);
         let edges = self.registry.ready_edges(now).len() as u32;
-        ToEdge::Heartbeat { fresh, index: self.view.index, cores, edges, loads }
+        ToEdge::Heartbeat { leader_contact, index: self.view.index, cores, edges, loads }
     }
 
     /// A step that was agreed, for an edge that this machine tells.
-    pub(super) fn repair(&mut self, edge: u32, life: u64, step: Step) {
-        let of = |feed: &Feed| (feed.edge, feed.life) == (edge, life);
+    pub(super) fn repair(&mut self, edge: u32, incarnation: u64, step: Step) {
+        let of = |feed: &Feed| (feed.edge, feed.incarnation) == (edge, incarnation);
         let Some(id) = self.feeds.iter().find(|(_, feed)| of(feed)).map(|(id, _)| *id) else { return };
         let Some(feed) = self.feeds.get_mut(&id) else { return };
         match step {
--- a/crates/control-plane/tests/control/callers.rs
+++ b/crates/control-plane/tests/control/callers.rs
@@ -250,7 +250,7 @@
                 region: "north".into(),
                 ingress: format!("10.2.0.{number}:80").parse().unwrap(),
                 ready: true,
-                life: 1,
+                incarnation: 1,
             };
             let (feed, mut queue) = core.borrow_mut().attach(edge, view.index);
             let until = Instant::now() + ms(self.net.draw(300..4_000));
--- a/crates/control-plane/tests/detection.rs
+++ b/crates/control-plane/tests/detection.rs
@@ -112,7 +112,7 @@
                 region: "north".into(),
                 ingress: "10.2.0.9:80".parse().unwrap(),
                 ready: true,
-                life: 1,
+                incarnation: 1,
             };
             let (_, mut words) = core.borrow_mut().attach(edge, 0);
             let mut told = Vec::new();
@@ -124,10 +124,10 @@
                     cut = Some(Instant::now());
                 }
                 let Some((_, bytes)) = words.recv().await else { break };
-                if let ToEdge::Heartbeat { fresh, .. } =
+                if let ToEdge::Heartbeat { leader_contact, .. } =
                     wire::read_frame::<ToEdge>(&mut bytes.as_slice()).await.unwrap()
                 {
-                    told.push(fresh);
+                    told.push(leader_contact);
                 }
             }
             let after = cut.expect("no word before the cut ends it").elapsed();
@@ -150,7 +150,7 @@
                 region: "north".into(),
                 ingress: format!("10.2.0.{id}:80").parse().unwrap(),
                 ready: true,
-                life: 1,
+                incarnation: 1,
             };
             let named = |at: u32, id: u32| {
                 let core = net.core(at).unwrap();
--- a/crates/control-plane/tests/directory.rs
+++ b/crates/control-plane/tests/directory.rs
@@ -21,7 +21,7 @@
         region: region.into(),
         ingress: format!("10.2.0.{number}:80").parse().unwrap(),
         ready,
-        life: 1,
+        incarnation: 1,
     }
 }
 
--- a/crates/drift-detection/src/check.rs
+++ b/crates/drift-detection/src/check.rs
@@ -89,7 +89,7 @@
 }
 
 struct Told {
-    life: u64,
+    incarnation: u64,
     /// When it reflected last, or was first heard after a silence.
     at: Millis,
     /// When it was heard last, and since when this machine tells it.
@@ -136,8 +136,8 @@
     }
 
     /// An edge is told by this machine from now on, or no more.
-    pub fn attach(&mut self, now: Millis, edge: u32, life: u64) {
-        self.edges.insert(edge, Told { life, at: now, heard: now, attached: now });
+    pub fn attach(&mut self, now: Millis, edge: u32, incarnation: u64) {
+        self.edges.insert(edge, Told { incarnation, at: now, heard: now, attached: now });
     }
 
     /// An edge was heard, and has folded so much. After a silence it has its time anew: it was frozen, or cut off. `fresh`: this
@@ -161,8 +161,8 @@
     }
 
     /// An edge is no longer told by this machine: it may be elsewhere, which is for others to say.
-    pub fn detach(&mut self, edge: u32, life: u64) {
-        if self.edges.get(&edge).is_some_and(|told| told.life == life) {
+    pub fn detach(&mut self, edge: u32, incarnation: u64) {
+        if self.edges.get(&edge).is_some_and(|told| told.incarnation == incarnation) {
             self.edges.remove(&edge);
         }
     }
@@ -209,6 +209,6 @@
             // Guards against naming one that is not heard at all: of that nothing is known.
             now.saturating_sub(told.heard) <= SILENT && now.saturating_sub(told.at) > over
         });
-        silent.map(|(edge, told)| (*edge, told.life)).collect()
+        silent.map(|(edge, told)| (*edge, told.incarnation)).collect()
     }
 }
--- a/crates/drift-detection/src/repair.rs
+++ b/crates/drift-detection/src/repair.rs
@@ -41,7 +41,7 @@
     /// The edge.
     pub edge: u32,
     /// Its life.
-    pub life: u64,
+    pub incarnation: u64,
     /// What it is to do.
     pub step: Step,
     /// Why.
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug)]
 pub struct EdgeStanding {
     /// Its life.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its zone.
     pub zone: String,
     /// What was found last.
@@ -87,19 +87,19 @@
 
 impl Repairer {
     /// What a machine of the core found of an edge that it tells.
-    pub fn record_finding(&mut self, now: Millis, edge: u32, life: u64, zone: &str, finding: Finding) {
+    pub fn record_finding(&mut self, now: Millis, edge: u32, incarnation: u64, zone: &str, finding: Finding) {
         let drift = finding.is_drift();
         let standing = self.edges.entry(edge).or_insert_with(|| EdgeStanding {
-            life,
+            incarnation,
             zone: zone.into(),
             finding: Finding::Lagging,
             at: now,
             since: None,
             step: None,
         });
-        if standing.life != life {
+        if standing.incarnation != incarnation {
             // A new life begins with nothing: what was done to the last one is over.
-            (standing.life, standing.since, standing.step) = (life, None, None);
+            (standing.incarnation, standing.since, standing.step) = (incarnation, None, None);
         }
         let well = finding == Finding::InSync;
         (standing.finding, standing.at) = (finding, now);
@@ -128,7 +128,7 @@
         for (edge, it) in &mut self.edges {
             let order = |step: Step, it: &EdgeStanding| RepairOrder {
                 edge: *edge,
-                life: it.life,
+                incarnation: it.incarnation,
                 step,
                 why: it.finding.describe(),
             };
--- a/crates/drift-detection/tests/repairs.rs
+++ b/crates/drift-detection/tests/repairs.rs
@@ -3,7 +3,7 @@
 use milletwing_drift_detection::{Finding, Part, RepairOrder, Repairer, Step};
 use std::collections::BTreeMap;
 
-const LIFE: u64 = 1;
+const INCARNATION: u64 = 1;
 
 fn ready(count: u32) -> Vec<(u32, String)> {
     (1..=count).map(|edge| (edge, ["a", "b", "c"][edge as usize % 3].to_owned())).collect()
@@ -24,7 +24,7 @@
     for now in span.step_by(100) {
         for (edge, zone) in edges {
             let finding = if drifts(now, *edge) { drifted() } else { Finding::InSync };
-            repairer.record_finding(now, *edge, LIFE, zone, finding);
+            repairer.record_finding(now, *edge, INCARNATION, zone, finding);
         }
         out.extend(repairer.next_orders(now, edges).into_iter().map(|order| (now, order)));
     }
@@ -47,7 +47,9 @@
     assert!(steps[1].0 - steps[0].0 >= 1_500 && steps[2].0 - steps[1].0 >= 1_500);
     assert!(steps[3].0 - steps[2].0 >= 6_000, "it rests before it is ended");
     assert_eq!(orders.len(), 4, "nothing is done to others");
-    assert!(orders.iter().all(|(_, order)| order.life == LIFE && order.why == "partial: hosts"));
+    assert!(orders
+        .iter()
+        .all(|(_, order)| order.incarnation == INCARNATION && order.why == "partial: hosts"));
 }
 
 #[test]
@@ -95,7 +97,7 @@
         orders.iter().filter(|(_, order)| order.step == Step::End).map(|(now, _)| *now).collect();
     assert!(ends.len() == 2 && ends[1] - ends[0] >= 30_000, "{ends:?}");
     let mut repairer = Repairer::default();
-    repairer.record_finding(1_000, 4, LIFE, "b", drifted());
+    repairer.record_finding(1_000, 4, INCARNATION, "b", drifted());
     assert!(repairer.next_orders(6_000, &edges).is_empty(), "what was found five seconds ago");
 }
 
@@ -104,8 +106,9 @@
     let edges = ready(24);
     let mut repairer = Repairer::default();
     play(&mut repairer, &edges, 1_000..4_000, |_, edge| edge == 4);
-    repairer.record_finding(4_000, 4, LIFE + 1, "b", drifted());
+    repairer.record_finding(4_000, 4, INCARNATION + 1, "b", drifted());
     let orders = repairer.next_orders(4_000, &edges);
-    let begun: BTreeMap<u32, (u64, Step)> = orders.iter().map(|it| (it.edge, (it.life, it.step))).collect();
-    assert_eq!(begun.get(&4), Some(&(LIFE + 1, Step::Again)));
+    let begun: BTreeMap<u32, (u64, Step)> =
+        orders.iter().map(|it| (it.edge, (it.incarnation, it.step))).collect();
+    assert_eq!(begun.get(&4), Some(&(INCARNATION + 1, Step::Again)));
 }
--- a/crates/edge-proxy/src/edge.rs
+++ b/crates/edge-proxy/src/edge.rs
@@ -53,7 +53,7 @@
     pub changed: Notify,
     revision: Cell<u64>,
     ingress: SocketAddrV4,
-    life: u64,
+    incarnation: u64,
     began: Instant,
 }
 
@@ -86,7 +86,7 @@
             changed: Notify::new(),
             revision: Cell::new(0),
             ingress,
-            life: rand::random(),
+            incarnation: rand::random(),
             began: Instant::now(),
         })
     }
@@ -110,7 +110,7 @@
             region: settings.own.region.clone(),
             ingress: self.ingress,
             ready: self.ready(),
-            life: self.life,
+            incarnation: self.incarnation,
         }
     }
 
--- a/crates/edge-proxy/src/feed.rs
+++ b/crates/edge-proxy/src/feed.rs
@@ -157,7 +157,7 @@
                     break problem;
                 }
             }
-            ToEdge::Heartbeat { fresh: now, index, cores: all, edges, loads } => {
+            ToEdge::Heartbeat { leader_contact: now, index, cores: all, edges, loads } => {
                 let behind = index < edge.view.borrow().index;
                 if !behind {
                     // All that edges are told up to there came before on this connection; a leader's first entry, or a change
--- a/crates/edge-proxy/src/tests/core_silence.rs
+++ b/crates/edge-proxy/src/tests/core_silence.rs
@@ -13,7 +13,13 @@
 const PULSE: Duration = Duration::from_millis(200);
 
 fn pulse(fresh: bool) -> Vec<u8> {
-    encode_frame(&ToEdge::Heartbeat { fresh, index: 100, cores: vec![1, 2, 3], edges: 3, loads: Vec::new() })
+    encode_frame(&ToEdge::Heartbeat {
+        leader_contact: fresh,
+        index: 100,
+        cores: vec![1, 2, 3],
+        edges: 3,
+        loads: Vec::new(),
+    })
 }
 
 /// Pulses at their pace: so many that hear the leader, then so many that don't; then nothing.
--- a/crates/replicated-state/src/registry.rs
+++ b/crates/replicated-state/src/registry.rs
@@ -59,7 +59,7 @@
     /// It takes traffic.
     pub ready: bool,
     /// New at each start.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// An edge of which nothing but the time is new.
@@ -68,7 +68,7 @@
     /// Its number.
     pub id: u32,
     /// Its life.
-    pub life: u64,
+    pub incarnation: u64,
     /// It takes traffic.
     pub ready: bool,
     /// Milliseconds since it was heard.
@@ -215,7 +215,8 @@
     /// An edge that may be known already was heard of, so many milliseconds ago; another life of it is not the one known.
     pub fn record_edge_heartbeat(&mut self, now: Time, still: &EdgeHeartbeat) {
         let at = now.saturating_sub(still.ago);
-        if let Some((edge, known)) = self.edges.get_mut(&still.id).filter(|(edge, _)| edge.life == still.life)
+        if let Some((edge, known)) =
+            self.edges.get_mut(&still.id).filter(|(edge, _)| edge.incarnation == still.incarnation)
         {
             if at >= *known {
                 (edge.ready, *known) = (still.ready, at);
@@ -233,7 +234,12 @@
         let (mut whole, mut still) = (Vec::new(), Vec::new());
         for (edge, ago) in self.edges(now).filter(|(_, ago)| *ago < TELL) {
             if told.get(&edge.id) == Some(edge) {
-                still.push(EdgeHeartbeat { id: edge.id, life: edge.life, ready: edge.ready, ago });
+                still.push(EdgeHeartbeat {
+                    id: edge.id,
+                    incarnation: edge.incarnation,
+                    ready: edge.ready,
+                    ago,
+                });
             } else {
                 whole.push((edge.clone(), ago));
                 told.insert(edge.id, edge.clone());
--- a/crates/replicated-state/src/view.rs
+++ b/crates/replicated-state/src/view.rs
@@ -101,7 +101,7 @@
     /// The edge.
     pub edge: u32,
     /// Its life.
-    pub life: u64,
+    pub incarnation: u64,
     /// What it was to do.
     pub step: Step,
     /// Why.
@@ -137,7 +137,7 @@
     /// The newest roll-out of each service.
     pub rollouts: BTreeMap<String, RollOut>,
     /// The version of each service that has its traffic.
-    pub settled: BTreeMap<String, String>,
+    pub serving_versions: BTreeMap<String, String>,
     /// Steps to bring edges back, oldest first. Its bytes stand behind the others', so that a state that was written before
     /// there were any is read as one without.
     #[serde(skip)]
@@ -182,7 +182,8 @@
         let texts = |list: &[&str]| ITEM + list.iter().map(|text| text.len()).sum::<usize>();
         let nodes: usize = self.nodes.values().map(Node::max_encoded_size).sum();
         let left: usize = self.left.iter().map(|id| texts(&[id])).sum();
-        let settled: usize = self.settled.iter().map(|(service, version)| texts(&[service, version])).sum();
+        let settled: usize =
+            self.serving_versions.iter().map(|(service, version)| texts(&[service, version])).sum();
         let rollouts: usize = self.rollouts.iter().map(|(service, roll)| texts(&[service, &roll.to])).sum();
         let evacuated: usize = self.evacuated.keys().map(|zone| texts(&[zone])).sum();
         let suspected: usize =
@@ -282,9 +283,9 @@
                 self.suspected.remove(id);
                 Outcome::Done
             }
-            Command::Repair { edge, life, step, why } => {
-                let (edge, life, step) = (*edge, *life, *step);
-                self.repairs.push_back(Repair { index, edge, life, step, why: why.clone() });
+            Command::Repair { edge, life: incarnation, step, why } => {
+                let (edge, incarnation, step) = (*edge, *incarnation, *step);
+                self.repairs.push_back(Repair { index, edge, incarnation, step, why: why.clone() });
                 if self.repairs.len() > HEALS {
                     self.repairs.pop_front();
                 }
@@ -364,7 +365,7 @@
         self.nodes.retain(|id, other| other.address != node.address || *id == node.id);
         let nodes = &self.nodes;
         self.suspected.retain(|id, _| nodes.contains_key(id));
-        self.settled.entry(node.target.clone()).or_insert_with(|| node.revision.clone());
+        self.serving_versions.entry(node.target.clone()).or_insert_with(|| node.revision.clone());
         self.nodes.insert(node.id.clone(), node.clone());
         Outcome::Done
     }
@@ -405,7 +406,7 @@
         if self.rollouts.get(service).is_some_and(same) {
             return Outcome::Done; // the same order again
         }
-        let state = match self.settled.get(service) {
+        let state = match self.serving_versions.get(service) {
             Some(settled) if settled == revision => RollOutState::Completed,
             _ => RollOutState::Active,
         };
@@ -419,7 +420,7 @@
         if roll.number == number && roll.state == RollOutState::Active {
             roll.state = if good { RollOutState::Completed } else { RollOutState::Reverted };
             if good {
-                self.settled.insert(service.into(), roll.to.clone());
+                self.serving_versions.insert(service.into(), roll.to.clone());
             }
         }
         Outcome::Done
@@ -442,13 +443,14 @@
     }
 
     /// Whether an edge rests until it is well again.
-    pub fn is_resting(&self, edge: u32, life: u64) -> bool {
-        let last = self.repairs.iter().rev().find(|repair| (repair.edge, repair.life) == (edge, life));
+    pub fn is_resting(&self, edge: u32, incarnation: u64) -> bool {
+        let last =
+            self.repairs.iter().rev().find(|repair| (repair.edge, repair.incarnation) == (edge, incarnation));
         last.is_some_and(|repair| matches!(repair.step, Step::Rest | Step::End))
     }
 
     /// Whether a marshal's version has its service's traffic.
     pub fn in_service(&self, node: &Node) -> bool {
-        self.settled.get(&node.target).is_none_or(|settled| *settled == node.revision)
+        self.serving_versions.get(&node.target).is_none_or(|settled| *settled == node.revision)
     }
 }
--- a/crates/replicated-state/tests/histories.rs
+++ b/crates/replicated-state/tests/histories.rs
@@ -44,7 +44,7 @@
         region: region.into(),
         ingress: format!("10.0.0.{}:80", id % 250).parse().unwrap(),
         ready: true,
-        life: 1,
+        incarnation: 1,
     }
 }
 
@@ -328,7 +328,7 @@
     view.apply(10, &Command::Settle { service: "s".into(), number: 4, good: false });
     assert_eq!(view.rollouts["s"].state, RollOutState::Completed);
     assert!(view.in_service(&new) && !view.in_service(&node));
-    let kept: BTreeMap<_, _> = view.settled.clone();
+    let kept: BTreeMap<_, _> = view.serving_versions.clone();
     assert_eq!((kept["s"].as_str(), view.revision), ("v2", 1), "a stage is no version of the configuration");
 }
 
@@ -339,12 +339,12 @@
     let (mut near, mut far) = (Registry::default(), Registry::default());
     let mut told = BTreeMap::new();
     let (mut wholes, mut stills) = (0, 0);
-    let mut life = 1;
+    let mut incarnation = 1;
     for step in 0u64..400 {
         let now = 10_000 + step * 500;
-        life += u64::from(step % 50 == 49);
+        incarnation += u64::from(step % 50 == 49);
         let ready = step % 20 < 15;
-        near.record_edge(now, EdgeStatus { ready, life, ..edge(7, "a", "north") }, 0);
+        near.record_edge(now, EdgeStatus { ready, incarnation, ..edge(7, "a", "north") }, 0);
         near.record_edge(now, EdgeStatus { ready: true, ..edge(8, "b", "north") }, 0);
         let (whole, still) = near.gossip(now, &mut told);
         (wholes, stills) = (wholes + whole.len(), stills + still.len());
@@ -356,16 +356,16 @@
         whole.into_iter().for_each(|(heard, ago)| far.record_edge(now, heard, ago));
         still.iter().for_each(|it| far.record_edge_heartbeat(now, it));
         let believed: Vec<(u32, u64)> =
-            far.ready_edges(now).iter().map(|heard| (heard.id, heard.life)).collect();
+            far.ready_edges(now).iter().map(|heard| (heard.id, heard.incarnation)).collect();
         let true_now: Vec<(u32, u64)> =
-            near.ready_edges(now).iter().map(|heard| (heard.id, heard.life)).collect();
+            near.ready_edges(now).iter().map(|heard| (heard.id, heard.incarnation)).collect();
         assert_eq!(believed, true_now, "step {step}");
     }
     assert!(stills > 3 * wholes, "{wholes} in whole, {stills} by number");
     // Another life is not kept alive by the earlier one's number.
     let mut registry = Registry::default();
-    registry.record_edge(1, EdgeStatus { life: 2, ..edge(7, "a", "north") }, 0);
-    registry.record_edge_heartbeat(2_000, &EdgeHeartbeat { id: 7, life: 1, ready: true, ago: 0 });
+    registry.record_edge(1, EdgeStatus { incarnation: 2, ..edge(7, "a", "north") }, 0);
+    registry.record_edge_heartbeat(2_000, &EdgeHeartbeat { id: 7, incarnation: 1, ready: true, ago: 0 });
     assert!(registry.ready_edges(2_000).is_empty());
 }
 
--- a/crates/replicated-state/tests/take_back.rs
+++ b/crates/replicated-state/tests/take_back.rs
@@ -28,7 +28,7 @@
         fold(&mut view, configured, configured.len());
         let ingress = "10.0.0.20:80".parse().unwrap();
         let (zone, region) = ("a".into(), "north".into());
-        registry.record_edge(0, EdgeStatus { id: 20, zone, region, ingress, ready: true, life: 1 }, 0);
+        registry.record_edge(0, EdgeStatus { id: 20, zone, region, ingress, ready: true, incarnation: 1 }, 0);
         Machine { view, registry }
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -39,15 +39,15 @@
     /// number.
     Gossip { nodes: Vec<String>, edges: Vec<(EdgeStatus, u64)>, heartbeats: Vec<EdgeHeartbeat> },
     /// To the leader, for one who called here.
-    Call { call: CallId, ask: CoreRequest },
+    Call { call: CallId, request: CoreRequest },
     /// The leader's answer.
     Reply { call: CallId, answer: Answer },
     /// One that isn't a member would be.
     Join,
     /// What an edge told of the trials under way: its number and life.
-    Reports { edge: u32, life: u64, reports: Vec<Report> },
+    Reports { edge: u32, incarnation: u64, reports: Vec<Report> },
     /// What a machine found of an edge that it tells, in this life and zone of it.
-    Drift { edge: u32, life: u64, zone: String, finding: Finding },
+    Drift { edge: u32, incarnation: u64, zone: String, finding: Finding },
     /// The digest of what the entries up to this one make.
     ViewDigest(u64, Digest),
     /// What the edges of this machine met at hosts since it told last, by edge, each with the milliseconds since.
@@ -58,7 +58,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallId {
     /// The life of the caller's process: drawn at its start.
-    pub life: u64,
+    pub incarnation: u64,
     /// The call's number in that life.
     pub number: u64,
 }
@@ -147,9 +147,9 @@
     LeafHashes,
     /// Entries in order, each with its index.
     Entries(Vec<(u64, Vec<u8>)>),
-    /// The core lives. `fresh`: it hears its leader; `cores`: all machines of the core; `edges`: how many take traffic;
+    /// The core lives. `leader_contact`: it hears its leader; `cores`: all machines of the core; `edges`: how many take traffic;
     /// `loads`: of hosts, as far as they are new.
-    Heartbeat { fresh: bool, index: u64, cores: Vec<Id>, edges: u32, loads: Vec<(u32, u16)> },
+    Heartbeat { leader_contact: bool, index: u64, cores: Vec<Id>, edges: u32, loads: Vec<(u32, u16)> },
 }
 
 /// The internal address of a core machine.
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -17,7 +17,7 @@
 }
 
 fn pulse() -> ToEdge {
-    ToEdge::Heartbeat { fresh: true, index: 9, cores: vec![1, 2, 3], edges: 8, loads: vec![(7, 3)] }
+    ToEdge::Heartbeat { leader_contact: true, index: 9, cores: vec![1, 2, 3], edges: 8, loads: vec![(7, 3)] }
 }
 
 #[test]
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -91,7 +91,7 @@
         region: "north".into(),
         ingress: "10.0.0.9:8548".parse().unwrap(),
         ready: true,
-        life: 77,
+        incarnation: 77,
     }
 }
 
@@ -152,8 +152,8 @@
 
 #[test]
 fn frames_among_machines() {
-    let call = CallId { life: 7, number: 5 };
-    let ask = CoreRequest::Evacuate { order: 1, seen: 2, zone: "a".into(), on: true };
+    let call = CallId { incarnation: 7, number: 5 };
+    let request = CoreRequest::Evacuate { order: 1, seen: 2, zone: "a".into(), on: true };
     let beat = CoreRequest::Beat { id: "i-1".into(), beat: Beat::parse(BEAT.as_bytes()).unwrap() };
     let said = EdgeReport {
         edge: heard(),
@@ -166,8 +166,8 @@
     let mut sound = vec![
         encode_frame(&Greeting::Core(5)),
         encode_frame(&Greeting::Edge(heard(), 8)),
-        encode_frame(&PeerMessage::Call { call, ask }),
-        encode_frame(&PeerMessage::Call { call, ask: beat }),
+        encode_frame(&PeerMessage::Call { call, request }),
+        encode_frame(&PeerMessage::Call { call, request: beat }),
         encode_frame(&PeerMessage::Reply { call, answer: Answer::Refused(412, "stale".into()) }),
         encode_frame(&PeerMessage::Gossip {
             nodes: vec!["i-1".into()],
@@ -180,7 +180,7 @@
         encode_frame(&ToEdge::Snapshot(view().to_compressed())),
         encode_frame(&ToEdge::Entries(vec![(3, commands()[1].to_bytes())])),
         encode_frame(&ToEdge::Heartbeat {
-            fresh: true,
+            leader_contact: true,
             index: 4,
             cores: vec![1, 2],
             edges: 9,
