--- a/crates/replicated-state/src/command.rs
+++ b/crates/replicated-state/src/command.rs
@@ -1,84 +1,89 @@
-//! What an entry of the log says.
+//! Commands: the contents of the entries in the replicated log.
 
 use milletwing_drift_detection::Step;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// Who may send a cold marshal how much: an edge's number, and requests in any second. Who is not named sends nothing.
+/// How much each edge may send to a cold marshal: pairs of an edge id and requests per second. An edge that is not listed
+/// sends nothing.
 pub type Deal = Vec<(u32, u32)>;
 
-/// How far a marshal is.
+/// The lifecycle phase of a marshal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Phase {
-    /// Bears little: only what is dealt out.
+    /// Warming up: each edge sends no more than its share in the deal.
     Cold(Deal),
-    /// Takes its part.
+    /// Receives its normal share of the traffic.
     Warm,
-    /// Leaves: nothing new goes there.
+    /// Shutting down: it receives no new requests.
     Draining,
 }
 
-/// A marshal's life.
+/// A marshal, from one start of its process to its end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Node {
-    /// New with each start.
+    /// The id, which is new with each start of the process.
     pub id: String,
-    /// Its service.
+    /// The name of its service.
     pub target: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// The zone it runs in.
     pub zone: String,
     /// The version of its software.
     pub revision: String,
-    /// Requests that it works on at once.
+    /// The number of requests that it processes concurrently.
     pub capacity: u32,
-    /// How far it is.
+    /// Its lifecycle phase.
     pub phase: Phase,
 }
 
-/// An entry.
-#[allow(missing_docs)] // each variant's line says what its fields are
+/// A command in the replicated log.
+#[allow(missing_docs)] // the doc comment of each variant explains its fields
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// A configuration on top of a revision: its number, the digest of its bytes as they were sent, and those bytes packed
-    /// as what differs from the configuration before.
+    /// Replaces the configuration `if_match` by `revision`. `digest` is the digest of the bytes as they were sent; `packed`
+    /// holds those bytes, compressed as a delta against the configuration in force.
     Configure { if_match: u64, revision: u64, digest: [u8; 32], packed: Vec<u8> },
-    /// A marshal's life begins.
+    /// Adds a marshal.
     NodeUp(Node),
-    /// It leaves, as it said itself.
+    /// Marks a marshal as draining, as it reported itself.
     NodeDrains { id: String },
-    /// It is gone: it said so, or it is silent.
+    /// Removes a marshal that deregistered or, if `silent`, stopped sending heartbeats.
     NodeGone { id: String, silent: bool },
-    /// It takes its part from now on.
+    /// Marks a marshal as warm.
     NodeWarm { id: String },
-    /// It has turned cold.
+    /// Marks a marshal as cold.
     NodeCold { id: String, deal: Deal },
-    /// A zone is emptied; or taken back, its marshals cold until they are known to be warm. `sure`: an order that can't be an
-    /// earlier one sent again.
+    /// Evacuates a zone if `on`; otherwise returns it to service, with its marshals cold until they are known to be warm.
+    /// `sure` marks an order that cannot be a retransmission of an earlier one.
     Evacuate { zone: String, on: bool, sure: bool, deals: Vec<(String, Deal)> },
-    /// A version is to be brought in, within so many milliseconds.
+    /// Starts rolling out a version, to be completed within `period_ms`.
     RollOut { service: String, revision: String, period_ms: u64 },
-    /// A roll-out moves to a stage.
+    /// Moves a roll-out to a stage.
     Stage { service: String, number: u64, stage: u32 },
-    /// A roll-out ends: the new version stays, or goes back.
+    /// Ends a roll-out: the new version is kept if `good`, and reverted otherwise.
     Settle { service: String, number: u64, good: bool },
-    /// A marshal that edges find gone is taken out, but for looks of these edges.
+    /// Takes a marshal that edges cannot reach out of service. Only the edges in `looks` go on probing it.
     Suspect { id: String, looks: Vec<u32> },
-    /// It takes its part again.
+    /// Returns a suspected marshal to service.
     Trust { id: String },
-    /// An edge that has drifted, in this life of it, is to be brought back by this step; and why.
+    /// Repairs an edge that has drifted by one step, for the reason `why`. `life` is the incarnation of the edge.
     Repair { edge: u32, life: u64, step: Step, why: String },
 }
 
 impl Command {
-    /// Its bytes.
+    /// Encodes the command for the log.
     pub fn to_bytes(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).unwrap_or_default() // plain values can't fail
+        postcard::to_stdvec(self).unwrap_or_default() // encoding plain values into memory cannot fail
     }
 
-    /// From its bytes. The error says what doesn't fit.
+    /// Decodes a command.
+    ///
+    /// # Errors
+    ///
+    /// Describes why the bytes are not a command.
     pub fn from_bytes(bytes: &[u8]) -> Result<Command, String> {
-        postcard::from_bytes(bytes).map_err(|problem| format!("entry: {problem}"))
+        postcard::from_bytes(bytes).map_err(|error| format!("cannot decode log entry: {error}"))
     }
 }
--- a/crates/replicated-state/src/lib.rs
+++ b/crates/replicated-state/src/lib.rs
@@ -1,5 +1,11 @@
-//! What the core has agreed. `command` is what an entry of the log says, `view` the state folded from all of them, on core
-//! and edge by the same code, `pack` how bytes shrink, and `registry` how beats of marshals become entries. No I/O: time is handed in.
+//! The state that the core machines replicate.
+//!
+//! - [`command`] defines the contents of log entries.
+//! - [`view`] is the state machine that applies them; core machines and edges run the same code.
+//! - [`pack`] compresses bytes against others that the receiver already has.
+//! - [`registry`] turns heartbeats of marshals into log entries.
+//!
+//! This crate performs no I/O; callers pass the current time.
 
 pub mod command;
 pub mod pack;
--- a/crates/replicated-state/src/pack.rs
+++ b/crates/replicated-state/src/pack.rs
@@ -1,28 +1,32 @@
-//! Bytes packed as what differs from others that both sides hold: a configuration that adds a route to a thousand is sent
-//! and kept as that route.
+//! Delta compression: bytes are encoded as their difference from other bytes that both sides have. A configuration that
+//! adds one route to a thousand is sent and stored as that route.
 
 use std::io::{Read, Write};
 
-/// How hard it tries: little, the machines are small.
+/// The compression level of zstd. A low one, since the machines have little CPU.
 const LEVEL: i32 = 1;
 
-/// Packs bytes against what the reader holds. Errors are the library's.
-pub fn pack(bytes: &[u8], held: &[u8]) -> std::io::Result<Vec<u8>> {
-    let mut encoder = zstd::stream::write::Encoder::with_ref_prefix(Vec::new(), LEVEL, held)?;
-    // What is held must be within reach.
-    let reach = (bytes.len() + held.len()).next_power_of_two().trailing_zeros().clamp(10, 24);
-    encoder.window_log(reach)?;
+/// Compresses `bytes` against `reference`, which the receiver has as well. Errors come from the compression library.
+pub fn pack(bytes: &[u8], reference: &[u8]) -> std::io::Result<Vec<u8>> {
+    let mut encoder = zstd::stream::write::Encoder::with_ref_prefix(Vec::new(), LEVEL, reference)?;
+    // The window must span the reference, or matches in it are not found.
+    let window_log = (bytes.len() + reference.len()).next_power_of_two().trailing_zeros().clamp(10, 24);
+    encoder.window_log(window_log)?;
     encoder.write_all(bytes)?;
     encoder.finish()
 }
 
-/// Unpacks what [`pack`] made against the same bytes, `most` bytes at most. Errors: it is something else, or longer.
-pub fn unpack(packed: &[u8], held: &[u8], most: usize) -> std::io::Result<Vec<u8>> {
-    let mut decoder = zstd::stream::read::Decoder::with_ref_prefix(packed, held)?;
+/// Decompresses the output of [`pack`] against the same reference, to at most `max_length` bytes.
+///
+/// # Errors
+///
+/// The input is not valid, or its content is longer than `max_length`.
+pub fn unpack(packed: &[u8], reference: &[u8], max_length: usize) -> std::io::Result<Vec<u8>> {
+    let mut decoder = zstd::stream::read::Decoder::with_ref_prefix(packed, reference)?;
     decoder.window_log_max(24)?;
     let mut out = Vec::new();
-    decoder.take(most as u64 + 1).read_to_end(&mut out)?;
-    if out.len() > most {
+    decoder.take(max_length as u64 + 1).read_to_end(&mut out)?;
+    if out.len() > max_length {
         return Err(std::io::ErrorKind::FileTooLarge.into());
     }
     Ok(out)
--- a/crates/replicated-state/src/view.rs
+++ b/crates/replicated-state/src/view.rs
@@ -1,4 +1,4 @@
-//! The state folded from the log. The same entries give the same state everywhere.
+//! The replicated state machine. The same log entries produce the same state on every machine.
 
 use crate::command::{Command, Deal, Node, Phase};
 use crate::pack::{pack, unpack};
@@ -9,55 +9,56 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Bytes of a configuration: one of some twenty thousand routes.
+/// The largest configuration in bytes. It holds about twenty thousand routes.
 pub const MAX_CONFIGURATION_BYTES: usize = 4 << 20;
-/// Bytes of a state unpacked that a machine reads.
-const MOST_STATE: usize = 16 << 20;
-/// Bytes of a state beyond which nothing more is taken into it: what is on its way at that moment still fits.
+/// The largest decompressed state in bytes that a machine reads.
+const MAX_STATE_BYTES: usize = 16 << 20;
+/// The size of the state in bytes above which further additions are refused. It lies below [`MAX_STATE_BYTES`], so that
+/// commands that are already in flight still fit.
 pub const MAX_ADMITTED_BYTES: usize = 14 << 20;
-/// Bytes of an item in the state beside its strings, at most: numbers, addresses, lengths.
-const ITEM: usize = 48;
-/// Bytes of one edge's part of a cold marshal, at most.
-const PART: usize = 10;
-/// Configurations remembered, so that one sent again is known as taken.
-const REMEMBERED: usize = 1024;
-/// Orders to empty a zone that are counted.
-const ORDERS: u32 = 3;
-/// Steps to bring edges back that are remembered.
-const HEALS: usize = 256;
-/// Marshals that have left remembered, so that a late beat doesn't bring one back.
-const LEFT: usize = 4096;
-
-/// The digest by which a configuration is known.
+/// An upper bound for the encoded size of an item in the state without its strings: numbers, addresses, lengths.
+const ITEM_BYTES: usize = 48;
+/// An upper bound for the encoded size of an edge in a deal or among those that probe a suspected marshal.
+const EDGE_ENTRY_BYTES: usize = 10;
+/// How many accepted configurations are remembered, to recognise one that is sent again.
+const MAX_ACCEPTED: usize = 1024;
+/// The highest number of evacuation orders that is counted for a zone.
+const MAX_ORDERS: u32 = 3;
+/// How many repair steps are remembered.
+const MAX_REPAIRS: usize = 256;
+/// How many ids of marshals that have left are remembered, so that a late heartbeat does not add one of them again.
+const MAX_LEFT: usize = 4096;
+
+/// Returns the SHA-256 digest that identifies a configuration.
 pub fn configuration_digest(body: &[u8]) -> [u8; 32] {
     Sha256::digest(body).into()
 }
 
 impl Node {
-    /// About how many bytes it has in a state, and not fewer.
+    /// An upper bound for the encoded size of the marshal in the state.
     pub fn max_encoded_size(&self) -> usize {
         let deal = match &self.phase {
-            Phase::Cold(deal) => deal.len() * PART,
+            Phase::Cold(deal) => deal.len() * EDGE_ENTRY_BYTES,
             Phase::Warm | Phase::Draining => 0,
         };
         let texts = 2 * self.id.len() + self.target.len() + self.zone.len() + self.revision.len();
-        2 * ITEM + texts + deal
+        2 * ITEM_BYTES + texts + deal
     }
 }
 
-/// How far a roll-out is.
+/// The state of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RollOutState {
-    /// Under way.
+    /// In progress.
     Active,
-    /// The new version has all.
+    /// Ended: the new version receives all traffic.
     Completed,
-    /// The earlier version has all.
+    /// Ended: the earlier version receives all traffic again.
     Reverted,
 }
 
 impl RollOutState {
-    /// The protocol's word.
+    /// The name in the control API.
     pub fn as_str(self) -> &'static str {
         match self {
             RollOutState::Active => "active",
@@ -67,177 +68,204 @@
     }
 }
 
-/// A zone that is emptied.
+/// The evacuation of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneEvacuation {
-    /// Orders to empty it that were not taken back.
+    /// The number of evacuation orders that have not been withdrawn.
     pub orders: u32,
-    /// One was taken back while another stands.
+    /// An order was withdrawn while another one remains.
     pub back: bool,
-    /// How many of them are certainly orders of their own: any other may be one of these, sent again.
+    /// How many of the orders are known to be distinct. Any other may be a retransmission of one of these.
     pub certain: u32,
 }
 
-/// A roll-out.
+/// A roll-out of a version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RollOut {
-    /// The index of its entry.
+    /// The index of the log entry that started it.
     pub number: u64,
-    /// The version brought in.
+    /// The new version.
     pub to: String,
-    /// Milliseconds that it may take.
+    /// The time within which it is to be completed, in milliseconds.
     pub period_ms: u64,
-    /// How far it is.
+    /// Whether it is in progress or how it ended.
     pub state: RollOutState,
-    /// And at which stage, while it is under way.
+    /// The stage it has reached while it is in progress.
     pub stage: u32,
 }
 
-/// A step to bring an edge back, as it was agreed.
+/// A committed step to repair an edge that has drifted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Repair {
-    /// Its entry.
+    /// The index of its log entry.
     pub index: u64,
-    /// The edge.
+    /// The id of the edge.
     pub edge: u32,
-    /// Its life.
+    /// The incarnation of the edge.
     pub incarnation: u64,
-    /// What it was to do.
+    /// What the edge is to do.
     pub step: Step,
-    /// Why.
+    /// The reason.
     pub why: String,
 }
 
-/// What became of an entry.
+/// The result of applying a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// It holds, now or since earlier.
+    /// The command is in effect, either by this entry or by an earlier one.
     Done,
-    /// It doesn't.
+    /// The command was refused and has no effect.
     Refused(ErrorKind),
 }
 
-/// The state.
+/// The replicated state, as of a log entry.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct View {
-    /// The last entry folded.
+    /// The index of the last log entry applied.
     pub index: u64,
-    /// The configuration's number; 0: none yet.
+    /// The revision of the configuration in force, or 0 if there is none yet.
     pub revision: u64,
-    /// The configuration as it was sent.
+    /// The configuration in force, as it was sent.
     pub body: Arc<Vec<u8>>,
-    /// Numbers and digests of those taken, oldest first.
-    taken: VecDeque<(u64, [u8; 32])>,
+    /// Revisions and digests of the accepted configurations, oldest first.
+    accepted: VecDeque<(u64, [u8; 32])>,
     /// Marshals by id.
     pub nodes: BTreeMap<String, Node>,
-    /// Ids of those that said that they are gone, oldest first.
+    /// Ids of marshals that deregistered, oldest first.
     left: VecDeque<String>,
-    /// Zones that are emptied.
+    /// Evacuated zones by name.
     pub evacuated: BTreeMap<String, ZoneEvacuation>,
-    /// The newest roll-out of each service.
+    /// The latest roll-out of each service.
     pub rollouts: BTreeMap<String, RollOut>,
-    /// The version of each service that has its traffic.
+    /// The version of each service that receives its traffic outside a trial.
     pub serving_versions: BTreeMap<String, String>,
-    /// Steps to bring edges back, oldest first. Its bytes stand behind the others', so that a state that was written before
-    /// there were any is read as one without.
+    /// Steps to repair edges, oldest first. They are encoded after the derived fields, so that a state that an earlier
+    /// version wrote without them can still be read.
     #[serde(skip)]
     pub repairs: VecDeque<Repair>,
-    /// Marshals that are taken out as edges find them gone, with the edges that look at them; behind the others as well.
+    /// Marshals taken out of service because edges cannot reach them, each with the edges that go on probing it. They are
+    /// encoded after `repairs`, for the same reason.
     #[serde(skip)]
     pub suspected: BTreeMap<String, Vec<u32>>,
     #[serde(skip)]
-    read: Option<Arc<Configuration>>,
+    parsed: Option<Arc<Configuration>>,
 }
 
 impl View {
-    /// Its bytes.
+    /// Encodes the state.
     pub fn to_bytes(&self) -> Vec<u8> {
-        let bytes = postcard::to_stdvec(self).unwrap_or_default(); // plain values can't fail
+        let bytes = postcard::to_stdvec(self).unwrap_or_default(); // encoding plain values into memory cannot fail
         let bytes = postcard::to_extend(&self.repairs, bytes).unwrap_or_default();
         postcard::to_extend(&self.suspected, bytes).unwrap_or_default()
     }
 
-    /// From its bytes; from none, the state before any entry.
+    /// Decodes a state. No bytes at all are the initial state.
+    ///
+    /// # Errors
+    ///
+    /// Describes why the bytes are not a state.
     pub fn from_bytes(bytes: &[u8]) -> Result<View, String> {
         if bytes.is_empty() {
             return Ok(View::default());
         }
-        let wrong = |problem| format!("state: {problem}");
-        let (mut view, rest): (View, &[u8]) = postcard::take_from_bytes(bytes).map_err(wrong)?;
+        let describe = |error| format!("cannot decode state: {error}");
+        let (mut view, rest): (View, &[u8]) = postcard::take_from_bytes(bytes).map_err(describe)?;
         if !rest.is_empty() {
-            let (repairs, rest) = postcard::take_from_bytes(rest).map_err(wrong)?;
+            let (repairs, rest) = postcard::take_from_bytes(rest).map_err(describe)?;
             view.repairs = repairs;
             if !rest.is_empty() {
-                view.suspected = postcard::from_bytes(rest).map_err(wrong)?;
+                view.suspected = postcard::from_bytes(rest).map_err(describe)?;
             }
         }
         if view.revision > 0 {
-            view.read = Some(Arc::new(Configuration::decode(&view.body).map_err(|kind| kind.to_string())?));
+            view.parsed =
+                Some(Arc::new(Configuration::decode(&view.body).map_err(|error| error.to_string())?));
         }
         Ok(view)
     }
 
-    /// About how many bytes it has, and not fewer.
+    /// An upper bound for the encoded size of the state.
     pub fn max_encoded_size(&self) -> usize {
-        let texts = |list: &[&str]| ITEM + list.iter().map(|text| text.len()).sum::<usize>();
+        let strings = |list: &[&str]| ITEM_BYTES + list.iter().map(|string| string.len()).sum::<usize>();
         let nodes: usize = self.nodes.values().map(Node::max_encoded_size).sum();
-        let left: usize = self.left.iter().map(|id| texts(&[id])).sum();
-        let settled: usize =
-            self.serving_versions.iter().map(|(service, version)| texts(&[service, version])).sum();
-        let rollouts: usize = self.rollouts.iter().map(|(service, roll)| texts(&[service, &roll.to])).sum();
-        let evacuated: usize = self.evacuated.keys().map(|zone| texts(&[zone])).sum();
+        let left: usize = self.left.iter().map(|id| strings(&[id])).sum();
+        let versions: usize =
+            self.serving_versions.iter().map(|(service, version)| strings(&[service, version])).sum();
+        let rollouts: usize =
+            self.rollouts.iter().map(|(service, rollout)| strings(&[service, &rollout.to])).sum();
+        let evacuated: usize = self.evacuated.keys().map(|zone| strings(&[zone])).sum();
         let suspected: usize =
-            self.suspected.iter().map(|(id, looks)| texts(&[id]) + looks.len() * PART).sum();
-        let repairs: usize = self.repairs.iter().map(|repair| texts(&[&repair.why])).sum();
-        let taken = self.taken.len() * ITEM;
-        self.body.len() + taken + nodes + left + settled + rollouts + evacuated + suspected + repairs + ITEM
+            self.suspected.iter().map(|(id, looks)| strings(&[id]) + looks.len() * EDGE_ENTRY_BYTES).sum();
+        let repairs: usize = self.repairs.iter().map(|repair| strings(&[&repair.why])).sum();
+        let accepted = self.accepted.len() * ITEM_BYTES;
+        self.body.len()
+            + accepted
+            + nodes
+            + left
+            + versions
+            + rollouts
+            + evacuated
+            + suspected
+            + repairs
+            + ITEM_BYTES
     }
 
-    /// Whether so many further bytes may be taken into it; the error says how many there would be.
-    pub fn check_admission(&self, further: usize) -> Result<(), ErrorKind> {
-        let whole = self.max_encoded_size() + further;
-        if whole <= MAX_ADMITTED_BYTES {
+    /// Checks whether the state has room for `additional` bytes.
+    ///
+    /// # Errors
+    ///
+    /// [`ErrorKind::StateTooLarge`] if it has not.
+    pub fn check_admission(&self, additional: usize) -> Result<(), ErrorKind> {
+        let size = self.max_encoded_size() + additional;
+        if size <= MAX_ADMITTED_BYTES {
             return Ok(());
         }
-        Err(ErrorKind::StateTooLarge(whole, MAX_ADMITTED_BYTES))
+        Err(ErrorKind::StateTooLarge(size, MAX_ADMITTED_BYTES))
     }
 
-    /// Its bytes, packed: for disks and links.
+    /// Encodes and compresses the state, for storage and transfer.
     pub fn to_compressed(&self) -> Vec<u8> {
-        pack(&self.to_bytes(), &[]).unwrap_or_default() // writing to memory can't fail
+        pack(&self.to_bytes(), &[]).unwrap_or_default() // writing to memory cannot fail
     }
 
-    /// From its packed bytes; from none, the state before any entry.
+    /// Decodes a compressed state. No bytes at all are the initial state.
+    ///
+    /// # Errors
+    ///
+    /// Describes why the bytes are not a state.
     pub fn from_compressed(packed: &[u8]) -> Result<View, String> {
         if packed.is_empty() {
             return Ok(View::default());
         }
-        View::from_bytes(&unpack(packed, &[], MOST_STATE).map_err(|problem| format!("state: {problem}"))?)
+        View::from_bytes(
+            &unpack(packed, &[], MAX_STATE_BYTES)
+                .map_err(|error| format!("cannot decompress state: {error}"))?,
+        )
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn configuration(&self) -> Option<&Arc<Configuration>> {
-        self.read.as_ref()
+        self.parsed.as_ref()
     }
 
-    /// Whether a life has ended by its own word.
+    /// Whether a marshal has deregistered.
     pub fn has_left(&self, id: &str) -> bool {
-        self.left.iter().any(|gone| gone == id)
+        self.left.iter().any(|left| left == id)
     }
 
-    /// Whether a life is known to drain, or to have ended.
+    /// Whether a marshal is draining or has deregistered.
     pub fn is_leaving(&self, id: &str) -> bool {
         self.has_left(id) || self.nodes.get(id).is_some_and(|node| node.phase == Phase::Draining)
     }
 
-    /// Folds an entry. What is refused changes nothing but the index.
+    /// Applies a log entry. A refused command changes nothing but the index.
     pub fn apply(&mut self, index: u64, command: &Command) -> Outcome {
         self.index = index;
         match command {
             Command::Configure { if_match, revision, digest, packed } => {
                 self.configure(*if_match, *revision, digest, packed)
             }
-            Command::NodeUp(node) => self.up(node),
+            Command::NodeUp(node) => self.node_up(node),
             Command::NodeDrains { id } => {
                 if let Some(node) = self.nodes.get_mut(id) {
                     node.phase = Phase::Draining;
@@ -248,16 +276,16 @@
                 self.nodes.remove(id);
                 self.suspected.remove(id);
                 if !silent {
-                    self.bury(id);
+                    self.remember_left(id);
                 }
                 Outcome::Done
             }
             Command::NodeWarm { id } => {
-                self.turn(id, Phase::Warm);
+                self.set_phase(id, Phase::Warm);
                 Outcome::Done
             }
             Command::NodeCold { id, deal } => {
-                self.turn(id, Phase::Cold(deal.clone()));
+                self.set_phase(id, Phase::Cold(deal.clone()));
                 Outcome::Done
             }
             Command::Evacuate { zone, on, sure, deals } => self.evacuate(zone, *on, *sure, deals),
@@ -265,9 +293,9 @@
                 self.roll_out(index, service, revision, *period_ms)
             }
             Command::Stage { service, number, stage } => {
-                if let Some(roll) = self.rollouts.get_mut(service) {
-                    if roll.number == *number && roll.state == RollOutState::Active {
-                        roll.stage = roll.stage.max(*stage); // a deposed leader's word comes late
+                if let Some(rollout) = self.rollouts.get_mut(service) {
+                    if rollout.number == *number && rollout.state == RollOutState::Active {
+                        rollout.stage = rollout.stage.max(*stage); // a command of a deposed leader may arrive late
                     }
                 }
                 Outcome::Done
@@ -286,7 +314,7 @@
             Command::Repair { edge, life: incarnation, step, why } => {
                 let (edge, incarnation, step) = (*edge, *incarnation, *step);
                 self.repairs.push_back(Repair { index, edge, incarnation, step, why: why.clone() });
-                if self.repairs.len() > HEALS {
+                if self.repairs.len() > MAX_REPAIRS {
                     self.repairs.pop_front();
                 }
                 Outcome::Done
@@ -294,28 +322,32 @@
         }
     }
 
-    fn bury(&mut self, id: &str) {
+    fn remember_left(&mut self, id: &str) {
         self.left.push_back(id.into());
-        if self.left.len() > LEFT {
+        if self.left.len() > MAX_LEFT {
             self.left.pop_front();
         }
     }
 
-    /// A marshal that drains stays so.
-    fn turn(&mut self, id: &str, phase: Phase) {
+    /// Sets the phase of a marshal. A draining marshal keeps its phase.
+    fn set_phase(&mut self, id: &str, phase: Phase) {
         if let Some(node) = self.nodes.get_mut(id).filter(|node| node.phase != Phase::Draining) {
             node.phase = phase;
         }
     }
 
-    /// Whether exactly this configuration has been taken, now or earlier.
+    /// Whether exactly this configuration has been accepted, now or earlier.
     pub fn has_accepted(&self, revision: u64, digest: &[u8; 32]) -> bool {
-        self.taken.iter().any(|(number, known)| *number == revision && known == digest)
+        self.accepted.iter().any(|(accepted, known)| *accepted == revision && known == digest)
     }
 
-    /// The entry for a configuration on top of the one in force. Errors are the packing library's.
+    /// Returns the command that replaces the configuration in force by `body`.
+    ///
+    /// # Errors
+    ///
+    /// [`ErrorKind::Unreadable`] if the compression fails.
     pub fn configure_command(&self, revision: u64, body: &[u8]) -> Result<Command, ErrorKind> {
-        let packed = pack(body, &self.body).map_err(|problem| ErrorKind::Unreadable(problem.to_string()))?;
+        let packed = pack(body, &self.body).map_err(|error| ErrorKind::Unreadable(error.to_string()))?;
         Ok(Command::Configure {
             if_match: self.revision,
             revision,
@@ -324,44 +356,52 @@
         })
     }
 
-    fn configure(&mut self, if_match: u64, revision: u64, known: &[u8; 32], packed: &[u8]) -> Outcome {
-        if self.has_accepted(revision, known) {
+    fn configure(
+        &mut self,
+        if_match: u64,
+        revision: u64,
+        expected_digest: &[u8; 32],
+        packed: &[u8],
+    ) -> Outcome {
+        if self.has_accepted(revision, expected_digest) {
             return Outcome::Done;
         }
         if if_match != self.revision {
             return Outcome::Refused(ErrorKind::RevisionMismatch(self.revision));
         }
-        let read = || -> Result<(Vec<u8>, Configuration), ErrorKind> {
+        let decode = || -> Result<(Vec<u8>, Configuration), ErrorKind> {
             let body = unpack(packed, &self.body, MAX_CONFIGURATION_BYTES)
-                .map_err(|it| ErrorKind::Unreadable(it.to_string()))?;
-            if configuration_digest(&body) != *known {
+                .map_err(|error| ErrorKind::Unreadable(error.to_string()))?;
+            if configuration_digest(&body) != *expected_digest {
                 return Err(ErrorKind::Unreadable("it does not fit its digest".into()));
             }
             let configuration = Configuration::decode(&body)?;
             Ok((body, configuration))
         };
-        let (body, configuration) = match read() {
-            Ok(read) => read,
-            Err(kind) => return Outcome::Refused(kind),
+        let (body, configuration) = match decode() {
+            Ok(decoded) => decoded,
+            Err(error) => return Outcome::Refused(error),
         };
         if revision <= self.revision || revision != configuration.revision {
             return Outcome::Refused(ErrorKind::OutdatedRevision(revision, self.revision));
         }
         self.revision = revision;
         self.body = Arc::new(body);
-        self.read = Some(Arc::new(configuration));
-        self.taken.push_back((revision, *known));
-        if self.taken.len() > REMEMBERED {
-            self.taken.pop_front();
+        self.parsed = Some(Arc::new(configuration));
+        self.accepted.push_back((revision, *expected_digest));
+        if self.accepted.len() > MAX_ACCEPTED {
+            self.accepted.pop_front();
         }
         Outcome::Done
     }
 
-    fn up(&mut self, node: &Node) -> Outcome {
-        if self.has_left(&node.id) || self.nodes.get(&node.id).is_some_and(|it| it.phase == Phase::Draining) {
-            return Outcome::Done; // a late beat
+    fn node_up(&mut self, node: &Node) -> Outcome {
+        if self.has_left(&node.id)
+            || self.nodes.get(&node.id).is_some_and(|known| known.phase == Phase::Draining)
+        {
+            return Outcome::Done; // a heartbeat that arrived late
         }
-        // Another life at the same address means that the earlier one is over.
+        // A new marshal at an address replaces the one that was known there.
         self.nodes.retain(|id, other| other.address != node.address || *id == node.id);
         let nodes = &self.nodes;
         self.suspected.retain(|id, _| nodes.contains_key(id));
@@ -372,85 +412,87 @@
 
     fn evacuate(&mut self, zone: &str, on: bool, sure: bool, deals: &[(String, Deal)]) -> Outcome {
         if on {
-            let emptied = self.evacuated.entry(zone.into()).or_insert(ZoneEvacuation {
+            let evacuation = self.evacuated.entry(zone.into()).or_insert(ZoneEvacuation {
                 orders: 0,
                 back: false,
                 certain: 0,
             });
-            // Bounded: a call that goes out again counts as an order, too, and nobody takes it back.
-            let own = sure || emptied.orders == 0;
-            let certain = (emptied.certain + u32::from(own)).min(ORDERS);
-            *emptied = ZoneEvacuation { orders: (emptied.orders + 1).min(ORDERS), back: false, certain };
+            // The count is bounded, since a retransmitted call counts as an order as well and is never withdrawn.
+            let distinct = sure || evacuation.orders == 0;
+            let certain = (evacuation.certain + u32::from(distinct)).min(MAX_ORDERS);
+            *evacuation =
+                ZoneEvacuation { orders: (evacuation.orders + 1).min(MAX_ORDERS), back: false, certain };
             return Outcome::Done;
         }
-        let Some(emptied) = self.evacuated.get_mut(zone) else { return Outcome::Done };
-        if emptied.orders > 1 {
-            // Guards against filling a zone that another order still wants empty.
-            let certain = emptied.certain.saturating_sub(1);
-            *emptied = ZoneEvacuation { orders: emptied.orders - 1, back: true, certain };
+        let Some(evacuation) = self.evacuated.get_mut(zone) else { return Outcome::Done };
+        if evacuation.orders > 1 {
+            // The zone stays evacuated as long as another order for it remains.
+            let certain = evacuation.certain.saturating_sub(1);
+            *evacuation = ZoneEvacuation { orders: evacuation.orders - 1, back: true, certain };
             return Outcome::Done;
         }
         self.evacuated.remove(zone);
-        // Whatever is not dealt for stays cold without a part: nobody knows whether it is warm.
+        // A marshal without a deal becomes cold and receives no requests, since it is not known to be warm.
         let ids: Vec<String> =
             self.nodes.values().filter(|node| node.zone == zone).map(|node| node.id.clone()).collect();
         for id in ids {
-            let deal = deals.iter().find(|(dealt, _)| *dealt == id).map(|(_, deal)| deal.clone());
-            self.turn(&id, Phase::Cold(deal.unwrap_or_default()));
+            let deal = deals.iter().find(|(node_id, _)| *node_id == id).map(|(_, deal)| deal.clone());
+            self.set_phase(&id, Phase::Cold(deal.unwrap_or_default()));
         }
         Outcome::Done
     }
 
     fn roll_out(&mut self, index: u64, service: &str, revision: &str, period_ms: u64) -> Outcome {
-        let same = |roll: &RollOut| roll.to == revision && roll.state == RollOutState::Active;
-        if self.rollouts.get(service).is_some_and(same) {
-            return Outcome::Done; // the same order again
+        let is_repeat = |rollout: &RollOut| rollout.to == revision && rollout.state == RollOutState::Active;
+        if self.rollouts.get(service).is_some_and(is_repeat) {
+            return Outcome::Done; // the order was sent again
         }
         let state = match self.serving_versions.get(service) {
-            Some(settled) if settled == revision => RollOutState::Completed,
+            Some(serving) if serving == revision => RollOutState::Completed,
             _ => RollOutState::Active,
         };
-        let roll = RollOut { number: index, to: revision.into(), period_ms, state, stage: 0 };
-        self.rollouts.insert(service.into(), roll);
+        let rollout = RollOut { number: index, to: revision.into(), period_ms, state, stage: 0 };
+        self.rollouts.insert(service.into(), rollout);
         Outcome::Done
     }
 
     fn settle(&mut self, service: &str, number: u64, good: bool) -> Outcome {
-        let Some(roll) = self.rollouts.get_mut(service) else { return Outcome::Done };
-        if roll.number == number && roll.state == RollOutState::Active {
-            roll.state = if good { RollOutState::Completed } else { RollOutState::Reverted };
+        let Some(rollout) = self.rollouts.get_mut(service) else { return Outcome::Done };
+        if rollout.number == number && rollout.state == RollOutState::Active {
+            rollout.state = if good { RollOutState::Completed } else { RollOutState::Reverted };
             if good {
-                self.serving_versions.insert(service.into(), roll.to.clone());
+                self.serving_versions.insert(service.into(), rollout.to.clone());
             }
         }
         Outcome::Done
     }
 
-    /// The roll-out that a marshal's version is on trial in.
+    /// Returns the active roll-out of the version of a marshal, if that version is still on trial.
     pub fn trial(&self, node: &Node) -> Option<&RollOut> {
-        let roll = self.rollouts.get(&node.target)?;
-        (roll.state == RollOutState::Active && roll.to == node.revision && !self.in_service(node))
-            .then_some(roll)
+        let rollout = self.rollouts.get(&node.target)?;
+        (rollout.state == RollOutState::Active && rollout.to == node.revision && !self.in_service(node))
+            .then_some(rollout)
     }
 
-    /// Whether a marshal may be sent to as far as its phase, zone and version go; and whether its version is on trial.
+    /// Returns whether a marshal may receive requests, judged by its phase, zone and version and by whether it is suspected;
+    /// and whether its version is on trial.
     pub fn eligibility(&self, node: &Node) -> (bool, bool) {
-        let new = self.trial(node).is_some();
-        let here = node.phase != Phase::Draining
+        let on_trial = self.trial(node).is_some();
+        let available = node.phase != Phase::Draining
             && !self.evacuated.contains_key(&node.zone)
             && !self.suspected.contains_key(&node.id);
-        (here && (new || self.in_service(node)), new)
+        (available && (on_trial || self.in_service(node)), on_trial)
     }
 
-    /// Whether an edge rests until it is well again.
+    /// Whether an incarnation of an edge was taken out of service to be repaired.
     pub fn is_resting(&self, edge: u32, incarnation: u64) -> bool {
         let last =
             self.repairs.iter().rev().find(|repair| (repair.edge, repair.incarnation) == (edge, incarnation));
         last.is_some_and(|repair| matches!(repair.step, Step::Rest | Step::End))
     }
 
-    /// Whether a marshal's version has its service's traffic.
+    /// Whether the version of a marshal receives the traffic of its service outside a trial.
     pub fn in_service(&self, node: &Node) -> bool {
-        self.serving_versions.get(&node.target).is_none_or(|settled| *settled == node.revision)
+        self.serving_versions.get(&node.target).is_none_or(|serving| *serving == node.revision)
     }
 }
--- a/crates/replicated-state/tests/take_back.rs
+++ b/crates/replicated-state/tests/take_back.rs
@@ -1,20 +1,20 @@
-//! A zone is emptied and taken back while the lead changes hands, at each pair of moments: its marshals have turned cold just before, and
-//! their reports do not say so yet. Nobody may enter that they are warm before their warm-up is over.
+//! A zone is evacuated and restored while the leadership changes twice, at each pair of times. Its marshals have just turned
+//! cold, and their heartbeats do not report it yet. No leader may declare them warm before their warm-up is over.
 
 use milletwing_replicated_state::registry::BeatAction;
 use milletwing_replicated_state::{Beat, Command, EdgeStatus, Phase, Registry, View};
 
-/// Milliseconds of one step.
+/// The duration of a step in milliseconds.
 const STEP_MS: u64 = 100;
-/// Steps at which the marshal reports, in between which nothing is heard of it.
-const REPORTS_EVERY: u64 = 7;
-const EMPTIED: u64 = 15;
-const TAKEN_BACK: u64 = 20;
+/// The number of steps between two heartbeats of the marshal.
+const HEARTBEAT_STEPS: u64 = 7;
+const EVACUATED_AT: u64 = 15;
+const RESTORED_AT: u64 = 20;
 const WARMUP_S: f64 = 3.0;
-const COLD_UNTIL: u64 = TAKEN_BACK + (WARMUP_S * 1_000.0) as u64 / STEP_MS;
-/// Two hand-overs are tried at each pair of these steps.
-const HAND_OVERS: std::ops::Range<u64> = 12..56;
-/// By then it is warm, whoever leads.
+const COLD_UNTIL: u64 = RESTORED_AT + (WARMUP_S * 1_000.0) as u64 / STEP_MS;
+/// The leadership changes at each pair of these steps.
+const LEADER_CHANGES: std::ops::Range<u64> = 12..56;
+/// By this step the marshal is warm, whichever machine leader.
 const END: u64 = 110;
 
 struct Machine {
@@ -23,9 +23,9 @@
 }
 
 impl Machine {
-    fn new(configured: &[Command]) -> Machine {
+    fn new(initial_log: &[Command]) -> Machine {
         let (mut view, mut registry) = (View::default(), Registry::default());
-        fold(&mut view, configured, configured.len());
+        apply_log(&mut view, initial_log, initial_log.len());
         let ingress = "10.0.0.20:80".parse().unwrap();
         let (zone, region) = ("a".into(), "north".into());
         registry.record_edge(0, EdgeStatus { id: 20, zone, region, ingress, ready: true, incarnation: 1 }, 0);
@@ -33,10 +33,10 @@
     }
 }
 
-/// Folds what was agreed, up to so many entries.
-fn fold(view: &mut View, log: &[Command], upto: usize) {
-    let done = view.index as usize;
-    for (index, command) in log.iter().enumerate().take(upto).skip(done) {
+/// Applies the log up to an entry.
+fn apply_log(view: &mut View, log: &[Command], up_to: usize) {
+    let applied = view.index as usize;
+    for (index, command) in log.iter().enumerate().take(up_to).skip(applied) {
         view.apply(index as u64 + 1, command);
     }
 }
@@ -45,10 +45,10 @@
     WARMUP_S
 }
 
-fn report(number: u64, left_s: f64) -> Beat {
+fn heartbeat(call_counter: u64, warmup_left_s: f64) -> Beat {
     let text = format!(
         r#"{{"target":"s","address":"10.0.0.9:80","zone":"a","revision":"v1","capacity":2,"state":"available",
-        "warmupLeftS":{left_s},"callCounter":{number}}}"#
+        "warmupLeftS":{warmup_left_s},"callCounter":{call_counter}}}"#
     );
     Beat::parse(text.as_bytes()).unwrap()
 }
@@ -59,76 +59,83 @@
     View::default().configure_command(1, body).unwrap()
 }
 
-/// Plays one case. `lag`: steps after which the machine that does not lead folds what was agreed; it may come to lead before. Gives the steps
-/// at which it was entered that the marshal is warm, after the zone was taken back.
-fn warmed(hand_overs: [u64; 2], lag: usize) -> Vec<u64> {
+/// Runs one case. The follower applies entries `lag` steps late, and may become the leader before it has caught up.
+/// Returns the steps after the end of the evacuation at which a leader declared the marshal warm.
+fn warm_steps(leader_changes: [u64; 2], lag: usize) -> Vec<u64> {
     let mut log = vec![configuration()];
     let mut machines = [Machine::new(&log), Machine::new(&log)];
-    let mut lengths = Vec::new();
-    let (mut leads, mut warm_at) = (0, Vec::new());
+    let mut log_lengths = Vec::new();
+    let (mut leader, mut warm_at) = (0, Vec::new());
     machines[0].registry.become_leader(0, &machines[0].view, &warm_up);
     for step in 1..END {
         let now = step * STEP_MS;
-        lengths.push(log.len());
-        for (at, machine) in machines.iter_mut().enumerate() {
-            let behind = if at == leads { 0 } else { lag.min(lengths.len() - 1) };
-            fold(&mut machine.view, &log, lengths[lengths.len() - 1 - behind]);
+        log_lengths.push(log.len());
+        for (number, machine) in machines.iter_mut().enumerate() {
+            let behind = if number == leader { 0 } else { lag.min(log_lengths.len() - 1) };
+            apply_log(&mut machine.view, &log, log_lengths[log_lengths.len() - 1 - behind]);
         }
-        for _ in hand_overs.iter().filter(|at| **at == step) {
-            machines[leads].registry.become_follower();
-            leads = 1 - leads;
-            let Machine { view, registry } = &mut machines[leads];
+        for _ in leader_changes.iter().filter(|change| **change == step) {
+            machines[leader].registry.become_follower();
+            leader = 1 - leader;
+            let Machine { view, registry } = &mut machines[leader];
             registry.become_leader(now, view, &warm_up);
         }
-        let mut entered = Vec::new();
+        let mut commands = Vec::new();
         match step {
-            EMPTIED => {
-                entered.push(Command::Evacuate { zone: "a".into(), on: true, sure: false, deals: Vec::new() })
-            }
-            TAKEN_BACK => {
-                let Machine { view, registry } = &mut machines[leads];
-                fold(view, &log, log.len());
-                entered.push(registry.restore_zone(now, view, "a", &warm_up));
+            EVACUATED_AT => commands.push(Command::Evacuate {
+                zone: "a".into(),
+                on: true,
+                sure: false,
+                deals: Vec::new(),
+            }),
+            RESTORED_AT => {
+                let Machine { view, registry } = &mut machines[leader];
+                apply_log(view, &log, log.len());
+                commands.push(registry.restore_zone(now, view, "a", &warm_up));
             }
             _ => {}
         }
-        if step % REPORTS_EVERY == 1 {
-            // Cold for a second as it comes; what it says later is from before it turned cold again.
-            let beat = report(step, if step == 1 { 1.0 } else { 0.0 });
-            for at in [1 - leads, leads] {
-                let Machine { view, registry } = &mut machines[at];
-                let verdict = registry.handle_beat(now, view, "i-1", &beat);
-                if let (BeatAction::Propose(command), true) = (verdict, at == leads) {
-                    entered.push(command);
+        if step % HEARTBEAT_STEPS == 1 {
+            // The marshal starts cold for a second. Later heartbeats predate the time at which it turned cold again.
+            let beat = heartbeat(step, if step == 1 { 1.0 } else { 0.0 });
+            for number in [1 - leader, leader] {
+                let Machine { view, registry } = &mut machines[number];
+                let action = registry.handle_beat(now, view, "i-1", &beat);
+                if let (BeatAction::Propose(command), true) = (action, number == leader) {
+                    commands.push(command);
                 }
             }
         }
-        let Machine { view, registry } = &mut machines[leads];
-        entered.extend(registry.sweep(now, view, 60_000, &warm_up));
-        if step > TAKEN_BACK {
-            let warm = entered.iter().filter(|command| matches!(command, Command::NodeWarm { .. }));
+        let Machine { view, registry } = &mut machines[leader];
+        commands.extend(registry.sweep(now, view, 60_000, &warm_up));
+        if step > RESTORED_AT {
+            let warm = commands.iter().filter(|command| matches!(command, Command::NodeWarm { .. }));
             warm_at.extend(warm.map(|_| step));
         }
-        log.extend(entered);
+        log.extend(commands);
     }
-    let machine = &mut machines[leads];
-    fold(&mut machine.view, &log, log.len());
-    assert_eq!(machine.view.nodes["i-1"].phase, Phase::Warm, "{hand_overs:?}, {lag} behind: never warm");
+    let machine = &mut machines[leader];
+    apply_log(&mut machine.view, &log, log.len());
+    assert_eq!(
+        machine.view.nodes["i-1"].phase,
+        Phase::Warm,
+        "leader changes at {leader_changes:?}, lag {lag}: never warm"
+    );
     warm_at
 }
 
-/// Guards against FAILBACK: a new leader took a time that it had heard long before for that of the marshal's new coldness, and sent
-/// it its full part at once.
+/// Regression test: a new leader took a warm-up time that it had heard long before for that of the current cold phase, so that
+/// the marshal received its full share of the traffic at once.
 #[test]
-fn a_zone_taken_back_stays_cold_whoever_comes_to_lead() {
+fn marshals_of_a_restored_zone_stay_cold_across_leader_changes() {
     for lag in [0, 1, 3] {
-        for first in HAND_OVERS {
-            for second in first..HAND_OVERS.end {
+        for first in LEADER_CHANGES {
+            for second in first..LEADER_CHANGES.end {
                 let early: Vec<u64> =
-                    warmed([first, second], lag).into_iter().filter(|step| *step < COLD_UNTIL).collect();
+                    warm_steps([first, second], lag).into_iter().filter(|step| *step < COLD_UNTIL).collect();
                 assert!(
                     early.is_empty(),
-                    "lead changes at {first} and {second}, {lag} behind: warm at {early:?}"
+                    "leader changes at {first} and {second}, lag {lag}: warm at {early:?}"
                 );
             }
         }
