--- a/crates/edge-proxy/src/lib.rs
+++ b/crates/edge-proxy/src/lib.rs
@@ -38,16 +38,16 @@
 /// Seconds before the time from SIGTERM is over at which this process ends by itself.
 const LAST_S: f64 = 0.25;
 
-/// Tells the program to leave in order.
-pub type Leave = Pin<Box<dyn Future<Output = ()>>>;
+/// Completes when the process is to shut down gracefully.
+pub type ShutdownSignal = Pin<Box<dyn Future<Output = ()>>>;
 
-/// Runs until `leave` says so, and what it has taken is finished. `endpoint`: where metrics are served, if anywhere. Errors are for
+/// Runs an edge until `shutdown` completes and the requests in flight have finished. `endpoint`: where metrics are served, if anywhere. Errors are for
 /// operators: a binding that is missing or taken.
 pub async fn run(
     settings: Settings,
     path: &Path,
     endpoint: Option<Endpoint>,
-    leave: Leave,
+    shutdown: ShutdownSignal,
 ) -> Result<(), String> {
     let ingress = settings.binding("ingress")?;
     let listener =
@@ -74,7 +74,7 @@
         tokio::task::spawn_local(front::readiness(Rc::clone(&edge), readiness));
     }
     tokio::select! {
-        _ = leave => {}
+        _ = shutdown => {}
         // The core's last step to bring it back: the platform starts it again.
         _ = edge.end.notified() => {}
     }
--- a/crates/system/src/main.rs
+++ b/crates/system/src/main.rs
@@ -177,7 +177,7 @@
 
 /// Listens for signals, starts the log, and reads the settings: SIGTERM ends, SIGHUP changes nothing by itself, since the
 /// file is watched.
-fn begin(given: &ArgMatches) -> Result<(Settings, PathBuf, milletwing_edge_proxy::Leave), String> {
+fn begin(given: &ArgMatches) -> Result<(Settings, PathBuf, milletwing_edge_proxy::ShutdownSignal), String> {
     // First of all: a signal that comes before it is listened for would end the process as if it had failed.
     let mut term = signal(SignalKind::terminate()).map_err(|problem| problem.to_string())?;
     let mut hangup = signal(SignalKind::hangup()).map_err(|problem| problem.to_string())?;
