--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -7,12 +7,12 @@
 pub mod log;
 pub mod member;
 
-pub use log::{Batch, Entry, Payload, Stored};
-pub use member::{inspect, Inspection, Member, Memory, Message, Options, Retirement, Role, Work};
+pub use log::{Batch, Entry, Payload, StoredState};
+pub use member::{inspect, Inspection, Member, Message, Options, Ready, Retirement, Role, StateIntegrity};
 
 /// A machine of the core: its IPv4 address as a number. Never 0.
-pub type Id = u32;
+pub type MemberId = u32;
 /// Milliseconds of a steady clock that is the driver's.
-pub type Time = u64;
+pub type Millis = u64;
 /// Term, then index, of an entry: compared in this order, the later log is the greater.
 pub type LogPosition = (u64, u64);
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,6 +1,6 @@
 //! The log in memory: a snapshot, and the entries behind it; and the bytes that stand for both on disk.
 
-use crate::{Id, LogPosition};
+use crate::{LogPosition, MemberId};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Batch {
     /// Term, vote and what else is promised.
-    pub hard: Option<Vec<u8>>,
+    pub hard_state: Option<Vec<u8>>,
     /// Entries by index; whatever stands from the first one's index on is replaced.
     pub entries: Vec<(u64, Vec<u8>)>,
     /// A snapshot, and the first index that is kept behind it.
@@ -18,15 +18,15 @@
 impl Batch {
     /// Whether there is nothing to write.
     pub fn is_empty(&self) -> bool {
-        self.hard.is_none() && self.entries.is_empty() && self.snapshot.is_none()
+        self.hard_state.is_none() && self.entries.is_empty() && self.snapshot.is_none()
     }
 }
 
 /// What a store gives back at a start, in the bytes that it was given.
 #[derive(Clone, Debug, Default)]
-pub struct Stored {
+pub struct StoredState {
     /// Term, vote and what else is promised.
-    pub hard: Option<Vec<u8>>,
+    pub hard_state: Option<Vec<u8>>,
     /// Entries in the order of their index.
     pub entries: Vec<Vec<u8>>,
     /// The snapshot before them.
@@ -37,11 +37,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Payload {
     /// A new leader's first entry: with it, what earlier terms left behind is committed.
-    Blank,
+    Noop,
     /// The user's bytes.
     Data(Vec<u8>),
     /// Who votes from here on. It counts from the moment that it stands in a log.
-    Members(Vec<Id>),
+    Members(Vec<MemberId>),
 }
 
 /// An entry of the log.
@@ -57,11 +57,11 @@
 
 impl Entry {
     /// About how many bytes it takes.
-    pub fn size(&self) -> usize {
+    pub fn approximate_size(&self) -> usize {
         const HEAD: usize = 32;
         match &self.payload {
             Payload::Data(data) => data.len() + HEAD,
-            Payload::Blank | Payload::Members(_) => HEAD,
+            Payload::Noop | Payload::Members(_) => HEAD,
         }
     }
 }
@@ -72,18 +72,18 @@
     /// The last entry that it holds.
     pub last: LogPosition,
     /// Who voted there.
-    pub members: Vec<Id>,
+    pub members: Vec<MemberId>,
     /// The user's state.
     pub data: Vec<u8>,
 }
 
 /// Bytes of a plain value.
-pub fn bytes<T: Serialize>(value: &T) -> Vec<u8> {
+pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     postcard::to_stdvec(value).unwrap_or_default() // plain values can't fail
 }
 
 /// A plain value from its bytes. The error names `what` was read.
-pub fn read<'a, T: Deserialize<'a>>(what: &str, bytes: &'a [u8]) -> Result<T, String> {
+pub fn decode<'a, T: Deserialize<'a>>(what: &str, bytes: &'a [u8]) -> Result<T, String> {
     postcard::from_bytes(bytes).map_err(|problem| format!("{what}: {problem}"))
 }
 
@@ -101,14 +101,14 @@
 
 impl Log {
     /// From what a disk gave back. An error where it doesn't hold together.
-    pub fn load(stored: &Stored) -> Result<Log, String> {
+    pub fn load(stored: &StoredState) -> Result<Log, String> {
         let snapshot: Snapshot = match &stored.snapshot {
-            Some(bytes) => read("snapshot", bytes)?,
+            Some(bytes) => decode("snapshot", bytes)?,
             None => Snapshot::default(),
         };
         let entries: VecDeque<Entry> =
-            stored.entries.iter().map(|bytes| read("entry", bytes)).collect::<Result<_, _>>()?;
-        if !snapshot.sound() || !entries.iter().all(Entry::sound) {
+            stored.entries.iter().map(|bytes| decode("entry", bytes)).collect::<Result<_, _>>()?;
+        if !snapshot.is_valid() || !entries.iter().all(Entry::is_valid) {
             return Err("a term or an index beyond any real one".into());
         }
         let follows = entries.iter().zip(entries.iter().skip(1)).all(|(a, b)| a.index + 1 == b.index);
@@ -118,22 +118,22 @@
         }
         let mut log = Log { base: snapshot.last, snapshot, ..Log::default() };
         log.entries = entries.into_iter().filter(|entry| entry.index > log.base.1).collect();
-        log.bytes = log.entries.iter().map(Entry::size).sum();
+        log.bytes = log.entries.iter().map(Entry::approximate_size).sum();
         Ok(log)
     }
 
     /// The last entry's mark.
-    pub fn last(&self) -> LogPosition {
+    pub fn last_position(&self) -> LogPosition {
         self.entries.back().map_or(self.base, |entry| (entry.term, entry.index))
     }
 
     /// About how many bytes the entries take.
-    pub fn bytes(&self) -> usize {
+    pub fn size_bytes(&self) -> usize {
         self.bytes
     }
 
     /// The first index that is kept as an entry.
-    pub fn first(&self) -> u64 {
+    pub fn first_index(&self) -> u64 {
         self.base.1 + 1
     }
 
@@ -147,15 +147,15 @@
 
     /// An entry.
     pub fn get(&self, index: u64) -> Option<&Entry> {
-        self.entries.get(index.checked_sub(self.first())? as usize)
+        self.entries.get(index.checked_sub(self.first_index())? as usize)
     }
 
     /// Entries from an index on, until so many bytes of users' data are full: one at least.
-    pub fn from(&self, index: u64, most: usize) -> Vec<Entry> {
+    pub fn entries_from(&self, index: u64, most: usize) -> Vec<Entry> {
         let mut room = most;
         let mut out = Vec::new();
-        for entry in self.entries.iter().skip(index.saturating_sub(self.first()) as usize) {
-            let size = entry.size();
+        for entry in self.entries.iter().skip(index.saturating_sub(self.first_index()) as usize) {
+            let size = entry.approximate_size();
             if size > room && !out.is_empty() {
                 break;
             }
@@ -166,16 +166,17 @@
     }
 
     /// Adds one entry; whatever stood from its index on is dropped.
-    pub fn put(&mut self, entry: Entry) {
-        let keep = entry.index.saturating_sub(self.first()) as usize;
-        let dropped: usize = self.entries.range(keep.min(self.entries.len())..).map(Entry::size).sum();
-        self.bytes = self.bytes + entry.size() - dropped;
+    pub fn append(&mut self, entry: Entry) {
+        let keep = entry.index.saturating_sub(self.first_index()) as usize;
+        let dropped: usize =
+            self.entries.range(keep.min(self.entries.len())..).map(Entry::approximate_size).sum();
+        self.bytes = self.bytes + entry.approximate_size() - dropped;
         self.entries.truncate(keep);
         self.entries.push_back(entry);
     }
 
     /// Who votes, as of the last entry that says so.
-    pub fn members(&self) -> Vec<Id> {
+    pub fn members(&self) -> Vec<MemberId> {
         let newest = self.entries.iter().rev().find_map(|entry| match &entry.payload {
             Payload::Members(members) => Some(members.clone()),
             _ => None,
@@ -184,7 +185,7 @@
     }
 
     /// Who voted as of an entry.
-    pub fn members_at(&self, index: u64) -> Vec<Id> {
+    pub fn members_at(&self, index: u64) -> Vec<MemberId> {
         let newest =
             self.entries.iter().rev().skip_while(|entry| entry.index > index).find_map(|entry| match &entry
                 .payload
@@ -196,7 +197,7 @@
     }
 
     /// Whether a change of members stands behind an index.
-    pub fn changes_after(&self, index: u64) -> bool {
+    pub fn has_membership_change_after(&self, index: u64) -> bool {
         self.entries
             .iter()
             .rev()
@@ -206,18 +207,18 @@
 
     /// Takes a snapshot in place of what it holds, and keeps so many entries behind it, and about so many bytes, for those a little
     /// late. Gives the first index that the disk must keep.
-    pub fn cut(&mut self, snapshot: Snapshot, behind: u64, bytes: usize) -> u64 {
+    pub fn compact(&mut self, snapshot: Snapshot, behind: u64, bytes: usize) -> u64 {
         let (last, keep) = (snapshot.last.1, snapshot.last.1.saturating_sub(behind));
         self.snapshot = snapshot;
         let held =
             |log: &Log, entry: &Entry| entry.index > last || (entry.index > keep && log.bytes <= bytes);
         while self.entries.front().is_some_and(|entry| !held(self, entry)) {
             if let Some(entry) = self.entries.pop_front() {
-                self.bytes -= entry.size();
+                self.bytes -= entry.approximate_size();
                 self.base = (entry.term, entry.index);
             }
         }
-        self.first()
+        self.first_index()
     }
 
     /// Takes a leader's snapshot in place of all that stands.
--- a/crates/consensus/src/member.rs
+++ b/crates/consensus/src/member.rs
@@ -25,10 +25,10 @@
 pub use inspection::{inspect, Inspection};
 use membership::Learner;
 pub use membership::Retirement;
-pub use message::{Memory, Message};
+pub use message::{Message, StateIntegrity};
 
-use crate::log::{bytes, Batch, Entry, Log, Snapshot, Stored};
-use crate::{Id, LogPosition, Time};
+use crate::log::{encode, Batch, Entry, Log, Snapshot, StoredState};
+use crate::{LogPosition, MemberId, Millis};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
@@ -38,19 +38,19 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Itself.
-    pub id: Id,
+    pub id: MemberId,
     /// Silence of a leader after which others ask for votes: at least this, at most twice as much; milliseconds.
-    pub election: Time,
+    pub election_timeout: Millis,
     /// Milliseconds between a leader's calls.
-    pub heartbeat: Time,
+    pub heartbeat_interval: Millis,
     /// How many disks may be lost at once.
-    pub losses: usize,
+    pub tolerated_losses: usize,
     /// Entries after which a snapshot is taken; a quarter of it stays behind the snapshot.
-    pub snapshot_every: u64,
+    pub snapshot_after_entries: u64,
     /// Bytes of entries after which one is taken, too.
-    pub snapshot_bytes: usize,
+    pub snapshot_after_bytes: usize,
     /// Bytes of a snapshot in one message.
-    pub part: usize,
+    pub snapshot_chunk_bytes: usize,
     /// Where its chance begins: another one at each start.
     pub seed: u64,
 }
@@ -70,19 +70,19 @@
 
 /// What is to be done: write and sync `batch`, call [`Member::saved`], then send.
 #[derive(Debug, Default)]
-pub struct Work {
+pub struct Ready {
     /// First this.
     pub batch: Batch,
     /// Then these.
-    pub messages: Vec<(Id, Message)>,
+    pub messages: Vec<(MemberId, Message)>,
     /// Where the log ends with this batch: to be handed to [`Member::saved`].
     pub last: LogPosition,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-struct Hard {
+struct HardState {
     term: u64,
-    vote: Option<Id>,
+    vote: Option<MemberId>,
     /// The machine lost its disk and has not caught up.
     lost: bool,
     /// What its log must hold before it counts again.
@@ -96,15 +96,15 @@
 struct Held {
     term: u64,
     last: LogPosition,
-    members: Vec<Id>,
-    memory: Memory,
+    members: Vec<MemberId>,
+    integrity: StateIntegrity,
 }
 
 /// Whether a machine has confirmed, since its start, that its disk is no earlier state of itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Start {
     /// It asks the others, since this moment.
-    Asking(Time),
+    Asking(Millis),
     /// They hold more than this machine's disk. Until its log ends here or later it does not stand for election, votes only
     /// for logs that do, and tells nobody that it holds everything.
     Behind(LogPosition),
@@ -115,12 +115,12 @@
 #[derive(Clone, Debug, Default)]
 struct Progress {
     next: u64,
-    matched: u64,
-    counts: bool,
-    heard: Time,
-    sent: Time,
+    match_index: u64,
+    quorum_eligible: bool,
+    heard: Millis,
+    sent: Millis,
     /// When entries went out that are not answered yet, and in which round.
-    waiting: Option<(Time, u64)>,
+    waiting: Option<(Millis, u64)>,
     round: u64,
     /// The round of the answer by which `matched` was told last.
     told: u64,
@@ -133,32 +133,32 @@
 /// One machine.
 pub struct Member {
     set: Options,
-    hard: Hard,
+    hard_state: HardState,
     log: Log,
-    members: Vec<Id>,
+    members: Vec<MemberId>,
     /// Entries up to here are on this machine's disk.
     written: u64,
     commit: u64,
     applied: u64,
     role: Role,
-    leader: Option<Id>,
+    leader: Option<MemberId>,
     /// Since when the leader has told of committed entries that have not come.
-    behind: Option<Time>,
+    behind: Option<Millis>,
     /// When a leader was heard of last, and when to ask for votes.
-    heard: Time,
-    deadline: Time,
-    votes: BTreeSet<Id>,
-    peers: BTreeMap<Id, Progress>,
+    heard: Millis,
+    deadline: Millis,
+    votes: BTreeSet<MemberId>,
+    peers: BTreeMap<MemberId, Progress>,
     round: u64,
     reads: Vec<(u64, u64)>,
     /// The call and the answers of a machine that lost its disk.
-    call: u64,
-    answers: BTreeMap<Id, Held>,
-    asked: Time,
+    query_id: u64,
+    answers: BTreeMap<MemberId, Held>,
+    asked: Millis,
     /// What is known of the disk that this process began with.
     start: Start,
     /// Machines to ask before any members are known.
-    seeds: Vec<Id>,
+    seeds: Vec<MemberId>,
     chance: Pcg64Mcg,
     /// The disk says that it counts.
     whole: bool,
@@ -167,17 +167,17 @@
     placed: Option<(Snapshot, u64)>,
     /// A leader's snapshot of which parts have come.
     coming: Option<(LogPosition, Vec<u8>)>,
-    out: Vec<(Id, Message)>,
+    out: Vec<(MemberId, Message)>,
     /// Machines on their way in, as far as this machine leads.
-    learners: BTreeMap<Id, Learner>,
+    learners: BTreeMap<MemberId, Learner>,
     /// Writes fail or hang: nothing is promised until they are down.
     suspended: bool,
     /// The newest round of a leader that was heeded, behind its term.
     heeded: (u64, u64),
     /// When the clock ticked last.
-    ticked: Time,
+    ticked: Millis,
     /// Messages that promise nothing, made while writes are suspended.
-    unbound: Vec<(Id, Message)>,
+    unbound: Vec<(MemberId, Message)>,
 }
 
 /// Bytes of entries in one message.
@@ -188,19 +188,19 @@
     /// any later start are taken for lost ones. `seeds`: whom a machine without memory asks. Errors are for operators.
     pub fn new(
         set: Options,
-        stored: &Stored,
-        founders: Option<&[Id]>,
-        seeds: &[Id],
-        now: Time,
+        stored: &StoredState,
+        founders: Option<&[MemberId]>,
+        seeds: &[MemberId],
+        now: Millis,
     ) -> Result<Member, String> {
         let log = Log::load(stored)?;
-        let hard = hard_state(stored)?;
+        let hard_state = hard_state(stored)?;
         let mut chance = Pcg64Mcg::seed_from_u64(set.seed);
-        let call = chance.random();
+        let query_id = chance.random();
         let mut member = Member {
-            hard: hard.unwrap_or_default(),
+            hard_state: hard_state.unwrap_or_default(),
             members: log.members(),
-            written: log.last().1,
+            written: log.last_position().1,
             commit: log.snapshot.last.1,
             applied: log.snapshot.last.1,
             log,
@@ -213,7 +213,7 @@
             peers: BTreeMap::new(),
             round: 0,
             reads: Vec::new(),
-            call,
+            query_id,
             answers: BTreeMap::new(),
             asked: 0,
             start: Start::Asking(now),
@@ -232,8 +232,8 @@
             unbound: Vec::new(),
             set,
         };
-        if !member.hard.begun {
-            member.hard.begun = true;
+        if !member.hard_state.begun {
+            member.hard_state.begun = true;
             member.dirty = true;
             match founders {
                 Some(founders) if founders.contains(&member.set.id) => {
@@ -243,7 +243,7 @@
                     members.sort_unstable();
                     members.dedup();
                     let snapshot = Snapshot { last: (1, 1), members, data: Vec::new() };
-                    member.hard.term = 1;
+                    member.hard_state.term = 1;
                     member.members = snapshot.members.clone();
                     member.log.restore(snapshot.clone());
                     (member.commit, member.applied, member.written) = (1, 1, 1);
@@ -252,14 +252,14 @@
                     member.start = Start::Confirmed;
                 }
                 // Guards against forgetting: an empty disk may be a lost one.
-                _ => member.hard.lost = true,
+                _ => member.hard_state.lost = true,
             }
         }
         // A disk without a log has nothing to go on from, and knows nobody to ask but the seeds.
-        if !member.hard.lost && member.members.is_empty() {
-            (member.hard.lost, member.hard.target, member.dirty) = (true, None, true);
+        if !member.hard_state.lost && member.members.is_empty() {
+            (member.hard_state.lost, member.hard_state.target, member.dirty) = (true, None, true);
         }
-        member.whole = !member.hard.lost;
+        member.whole = !member.hard_state.lost;
         // A start waits less: if there is a leader, the others refuse at the question beforehand, and after a loss of all
         // machines nobody else will stand.
         member.rest(now);
@@ -273,37 +273,37 @@
     }
 
     /// Whom it takes for the leader.
-    pub fn leader(&self) -> Option<Id> {
+    pub fn leader(&self) -> Option<MemberId> {
         self.leader
     }
 
     /// The term.
     pub fn term(&self) -> u64 {
-        self.hard.term
+        self.hard_state.term
     }
 
     /// Who votes.
-    pub fn members(&self) -> &[Id] {
+    pub fn members(&self) -> &[MemberId] {
         &self.members
     }
 
     /// What is committed, and the last entry.
-    pub fn positions(&self) -> (u64, LogPosition) {
-        (self.commit, self.log.last())
+    pub fn commit_and_last(&self) -> (u64, LogPosition) {
+        (self.commit, self.log.last_position())
     }
 
     /// It lost its disk and doesn't count yet, or that it counts is not on its disk yet.
-    pub fn lost(&self) -> bool {
+    pub fn has_lost_state(&self) -> bool {
         !self.whole
     }
 
     /// Whether it has asked the others since its start, and holds what they told.
-    pub fn confirmed(&self) -> bool {
+    pub fn start_confirmed(&self) -> bool {
         self.start == Start::Confirmed
     }
 
     /// What its log must hold before it counts, where the others told that they hold more than its disk at the start.
-    pub fn behind(&self) -> Option<LogPosition> {
+    pub fn catch_up_target(&self) -> Option<LogPosition> {
         match self.start {
             Start::Behind(most) => Some(most),
             Start::Asking(_) | Start::Confirmed => None,
@@ -311,13 +311,13 @@
     }
 
     /// When each peer was heard last, as far as this machine leads.
-    pub fn peers(&self) -> impl Iterator<Item = (Id, Time, u64, bool)> + '_ {
-        self.peers.iter().map(|(id, peer)| (*id, peer.heard, peer.matched, peer.counts))
+    pub fn peers(&self) -> impl Iterator<Item = (MemberId, Millis, u64, bool)> + '_ {
+        self.peers.iter().map(|(id, peer)| (*id, peer.heard, peer.match_index, peer.quorum_eligible))
     }
 
     /// The first index that is kept as an entry.
-    pub fn first(&self) -> u64 {
-        self.log.first()
+    pub fn first_index(&self) -> u64 {
+        self.log.first_index()
     }
     /// The snapshot kept, for a user's state at the start.
     pub fn snapshot(&self) -> &Snapshot {
@@ -333,25 +333,25 @@
     }
 
     /// All that are sent the log: members and learners.
-    fn followers(&self) -> Vec<Id> {
+    fn followers(&self) -> Vec<MemberId> {
         self.others().into_iter().chain(self.learners.keys().copied()).collect()
     }
 
     /// Other members.
-    fn others(&self) -> Vec<Id> {
+    fn others(&self) -> Vec<MemberId> {
         self.members.iter().copied().filter(|id| *id != self.set.id).collect()
     }
 
     /// Time passes: elections, a leader's calls, questions of a machine without memory.
-    pub fn tick(&mut self, now: Time) {
+    pub fn tick(&mut self, now: Millis) {
         self.ticked = now;
-        if self.hard.lost && self.hard.target.is_none() {
+        if self.hard_state.lost && self.hard_state.target.is_none() {
             self.ask_others(now);
             return;
         }
-        if self.hard.lost && now >= self.deadline + 4 * self.set.election {
+        if self.hard_state.lost && now >= self.deadline + 4 * self.set.election_timeout {
             // No leader sends what it waits for: it may have been replaced meanwhile, and has to ask anew.
-            self.hard.target = None;
+            self.hard_state.target = None;
             self.dirty = true;
             self.begin_asking();
             self.rest(now);
@@ -361,104 +361,105 @@
         if self.role == Role::Leader {
             // Guards against two leaders that both think they lead: one without a majority stands down.
             if now >= self.deadline {
-                if self.backed(now, 2 * self.set.election) {
-                    self.deadline = now + self.set.election;
+                if self.backed(now, 2 * self.set.election_timeout) {
+                    self.deadline = now + self.set.election_timeout;
                 } else {
-                    self.follow(now, self.hard.term, None);
+                    self.follow(now, self.hard_state.term, None);
                     return;
                 }
             }
             self.promote(now);
             for id in self.followers() {
-                let due = self.peers.get(&id).is_none_or(|peer| now >= peer.sent + self.set.heartbeat);
+                let due =
+                    self.peers.get(&id).is_none_or(|peer| now >= peer.sent + self.set.heartbeat_interval);
                 if due {
                     self.append(now, id, true);
                 }
             }
         } else if now >= self.deadline && self.votes_here() {
             self.stand(now, true);
-        } else if self.role == Role::Asking && now >= self.asked + self.set.heartbeat {
+        } else if self.role == Role::Asking && now >= self.asked + self.set.heartbeat_interval {
             // A question promises nothing, so that it may be put again and again to those who were not up yet.
             self.question(now);
         }
     }
 
     /// A message came.
-    pub fn step(&mut self, now: Time, from: Id, message: Message) {
-        if !message.sound() {
+    pub fn step(&mut self, now: Millis, from: MemberId, message: Message) {
+        if !message.is_valid() {
             return;
         }
         match message {
-            Message::QueryState { call } => {
-                let (term, last) = (self.hard.term, self.log.last());
-                let (members, memory) = (self.members.clone(), self.memory());
-                self.send(from, Message::StateReport { call, term, last, members, memory });
+            Message::QueryState { query_id } => {
+                let (term, last) = (self.hard_state.term, self.log.last_position());
+                let (members, integrity) = (self.members.clone(), self.integrity());
+                self.send(from, Message::StateReport { query_id, term, last, members, integrity });
                 self.ask_back(from);
             }
-            Message::StateReport { call, term, last, members, memory } => {
-                let held = Held { term, last, members, memory };
-                if call != self.call {
+            Message::StateReport { query_id, term, last, members, integrity } => {
+                let held = Held { term, last, members, integrity };
+                if query_id != self.query_id {
                     // an answer to an earlier question
-                } else if self.hard.lost && self.hard.target.is_none() {
+                } else if self.hard_state.lost && self.hard_state.target.is_none() {
                     self.recalled(now, from, held);
-                } else if !self.hard.lost && matches!(self.start, Start::Asking(_)) {
+                } else if !self.hard_state.lost && matches!(self.start, Start::Asking(_)) {
                     self.answers.insert(from, held);
                     self.confirm_start(now);
                 }
             }
             // Guards against a machine without memory that follows a leader deposed long ago.
-            _ if self.hard.lost && self.hard.target.is_none() => {}
-            Message::RequestVote { term, early, last } => {
-                self.answer_vote_request(now, from, term, early, last)
+            _ if self.hard_state.lost && self.hard_state.target.is_none() => {}
+            Message::RequestVote { term, pre_vote, last } => {
+                self.answer_vote_request(now, from, term, pre_vote, last)
             }
-            Message::Vote { term, early, granted } => {
-                if !granted && term > self.hard.term {
+            Message::VoteResponse { term, pre_vote, granted } => {
+                if !granted && term > self.hard_state.term {
                     self.follow(now, term, None);
                 }
-                let fits = match self.role {
-                    Role::Asking => early && term == self.hard.term + 1,
-                    Role::Candidate => !early && term == self.hard.term,
+                let accepted = match self.role {
+                    Role::Asking => pre_vote && term == self.hard_state.term + 1,
+                    Role::Candidate => !pre_vote && term == self.hard_state.term,
                     _ => false,
                 };
-                if fits && granted && self.members.contains(&from) {
+                if accepted && granted && self.members.contains(&from) {
                     self.votes.insert(from);
                     self.elected(now);
                 }
             }
-            Message::Append { term, before, entries, commit, round } => {
+            Message::AppendEntries { term, previous, entries, commit, round } => {
                 if self.heed(now, from, term, round) {
                     let round = self.heeded.1;
-                    self.take(from, before, entries, commit, round);
+                    self.take(from, previous, entries, commit, round);
                     self.behind = (commit > self.commit).then(|| self.behind.unwrap_or(now));
                 }
             }
-            Message::Install { term, last, members, offset, part, total, sum, round } => {
+            Message::InstallSnapshot { term, last, members, offset, chunk, total, checksum, round } => {
                 if self.heed(now, from, term, round) {
                     let round = self.heeded.1;
-                    self.install(from, (last, members), (offset, part, total, sum), round);
+                    self.install(from, (last, members), (offset, chunk, total, checksum), round);
                 }
             }
-            Message::Installed { term, last, have, round, counts } => {
-                if term > self.hard.term {
+            Message::SnapshotChunkResponse { term, last, received, round, quorum_eligible } => {
+                if term > self.hard_state.term {
                     self.follow(now, term, None);
-                } else if term == self.hard.term && self.role == Role::Leader {
-                    self.arrived(now, from, last, have, round, counts);
+                } else if term == self.hard_state.term && self.role == Role::Leader {
+                    self.arrived(now, from, last, received, round, quorum_eligible);
                 }
             }
-            Message::Appended { term, fits, matched, round, counts } => {
-                if term > self.hard.term {
+            Message::AppendResponse { term, accepted, match_index, round, quorum_eligible } => {
+                if term > self.hard_state.term {
                     self.follow(now, term, None);
-                } else if term == self.hard.term && self.role == Role::Leader {
-                    self.appended(now, from, fits, matched, round, counts);
+                } else if term == self.hard_state.term && self.role == Role::Leader {
+                    self.appended(now, from, accepted, match_index, round, quorum_eligible);
                 }
             }
             Message::DistrustDisk { term } => {
-                if term == self.hard.term && self.leader == Some(from) && !self.hard.lost {
+                if term == self.hard_state.term && self.leader == Some(from) && !self.hard_state.lost {
                     self.forget(now);
                 }
             }
             Message::TransferLeadership { term } => {
-                if term == self.hard.term && self.votes_here() && self.leader == Some(from) {
+                if term == self.hard_state.term && self.votes_here() && self.leader == Some(from) {
                     self.stand(now, false);
                 }
             }
@@ -467,41 +468,41 @@
 
     /// Whether copies of entries on this machine count: what it says of its disk is true, and what it promises reaches it. One that
     /// is behind counts as well, for what it holds: a leader needs it, and its log grows only by what a leader sends.
-    fn counts(&self) -> bool {
-        !self.hard.lost && !self.suspended && !matches!(self.start, Start::Asking(_))
+    fn is_quorum_eligible(&self) -> bool {
+        !self.hard_state.lost && !self.suspended && !matches!(self.start, Start::Asking(_))
     }
 
     /// Whether it holds everything that it ever helped to acknowledge.
     fn complete(&self) -> bool {
-        self.counts() && self.start == Start::Confirmed
+        self.is_quorum_eligible() && self.start == Start::Confirmed
     }
 
     /// What is to be done next; nothing while there is none. Whoever takes it writes it before anything else.
-    pub fn work(&mut self) -> Option<Work> {
+    pub fn take_ready(&mut self) -> Option<Ready> {
         if !self.dirty && self.fresh.is_empty() && self.placed.is_none() && self.out.is_empty() {
             return None;
         }
-        let hard = std::mem::take(&mut self.dirty).then(|| bytes(&self.hard));
-        let entries = self.fresh.drain(..).map(|entry| (entry.index, bytes(&entry))).collect();
-        let snapshot = self.placed.take().map(|(snapshot, from)| (bytes(&snapshot), from));
+        let hard_state = std::mem::take(&mut self.dirty).then(|| encode(&self.hard_state));
+        let entries = self.fresh.drain(..).map(|entry| (entry.index, encode(&entry))).collect();
+        let snapshot = self.placed.take().map(|(snapshot, from)| (encode(&snapshot), from));
         let messages = std::mem::take(&mut self.out);
-        let last = self.log.last();
-        Some(Work { batch: Batch { hard, entries, snapshot }, messages, last })
+        let last = self.log.last_position();
+        Some(Ready { batch: Batch { hard_state, entries, snapshot }, messages, last })
     }
 
     /// The work whose log ended at this mark is on the disk.
-    pub fn saved(&mut self, now: Time, last: LogPosition) {
+    pub fn on_persisted(&mut self, now: Millis, last: LogPosition) {
         self.resume(now);
         // Guards against counting what has been replaced since.
         if self.log.term(last.1) == Some(last.0) {
             self.written = self.written.max(last.1);
         }
-        self.whole |= !self.hard.lost && !self.dirty;
+        self.whole |= !self.hard_state.lost && !self.dirty;
         self.count(now);
     }
 
     /// Committed entries to be applied now, in order.
-    pub fn committed(&mut self) -> Vec<Entry> {
+    pub fn take_committed(&mut self) -> Vec<Entry> {
         let mut out = Vec::new();
         while self.applied < self.commit {
             let Some(entry) = self.log.get(self.applied + 1) else { break };
--- a/crates/consensus/src/member/snapshots.rs
+++ b/crates/consensus/src/member/snapshots.rs
@@ -2,7 +2,7 @@
 
 use super::{Member, Message, Progress, Role};
 use crate::log::Snapshot;
-use crate::{Id, LogPosition, Time};
+use crate::{LogPosition, MemberId, Millis};
 
 /// A snapshot that a follower is being sent is kept until so many times the usual entries stand behind it: replaced sooner, each
 /// transfer would begin anew, and one that is far behind would never catch up.
@@ -12,12 +12,12 @@
     /// Takes a part of a snapshot; the last one puts it in place, if all together are what the leader has.
     pub(super) fn install(
         &mut self,
-        from: Id,
-        (last, members): (LogPosition, Vec<Id>),
-        (offset, part, total, sum): (u64, Vec<u8>, u64, u32),
+        from: MemberId,
+        (last, members): (LogPosition, Vec<MemberId>),
+        (offset, chunk, total, checksum): (u64, Vec<u8>, u64, u32),
         round: u64,
     ) {
-        let (term, index) = (self.hard.term, last.1);
+        let (term, index) = (self.hard_state.term, last.1);
         // Guards against dropping what stands behind it here, which may have been acknowledged: a log that holds its last entry
         // holds all of it.
         if self.log.term(index) == Some(last.0) {
@@ -31,15 +31,19 @@
                 _ => Vec::new(),
             };
             if offset == data.len() as u64 {
-                data.extend_from_slice(&part);
+                data.extend_from_slice(&chunk);
             }
-            let have = data.len() as u64;
+            let received = data.len() as u64;
             // Guards against a state put together wrongly: it begins anew.
-            let wrong = have > total || (have == total && crc32fast::hash(&data) != sum);
-            if have < total || wrong {
-                let (have, counts) = (if wrong { 0 } else { have }, self.counts());
+            let wrong = received > total || (received == total && crc32fast::hash(&data) != checksum);
+            if received < total || wrong {
+                let (received, quorum_eligible) =
+                    (if wrong { 0 } else { received }, self.is_quorum_eligible());
                 self.coming = (!wrong).then_some((last, data));
-                self.send(from, Message::Installed { term, last, have, round, counts });
+                self.send(
+                    from,
+                    Message::SnapshotChunkResponse { term, last, received, round, quorum_eligible },
+                );
                 return;
             }
             let snapshot = Snapshot { last, members, data };
@@ -51,35 +55,38 @@
         }
         self.coming = None;
         self.caught_up();
-        let (matched, counts) = (index, self.counts());
-        self.send(from, Message::Appended { term, fits: true, matched, round, counts });
+        let (match_index, quorum_eligible) = (index, self.is_quorum_eligible());
+        self.send(
+            from,
+            Message::AppendResponse { term, accepted: true, match_index, round, quorum_eligible },
+        );
     }
 
     /// A part of a snapshot has arrived: the next one goes.
     pub(super) fn arrived(
         &mut self,
-        now: Time,
-        from: Id,
+        now: Millis,
+        from: MemberId,
         last: LogPosition,
-        have: u64,
+        received: u64,
         round: u64,
-        counts: bool,
+        quorum_eligible: bool,
     ) {
         let Some(peer) = self.peers.get_mut(&from) else { return };
-        (peer.heard, peer.counts) = (now, counts);
+        (peer.heard, peer.quorum_eligible) = (now, quorum_eligible);
         peer.round = peer.round.max(round);
-        if !counts {
-            peer.matched = 0;
+        if !quorum_eligible {
+            peer.match_index = 0;
         }
         if peer.snapshot.0 == last {
-            peer.snapshot.1 = have;
+            peer.snapshot.1 = received;
             peer.waiting = None;
             self.append(now, from, true);
         }
     }
 
     /// Whether a leader's snapshot took the place of entries that were never applied: the user's state comes from it.
-    pub fn restored(&mut self) -> Option<Vec<u8>> {
+    pub fn take_restored_state(&mut self) -> Option<Vec<u8>> {
         (self.applied < self.log.snapshot.last.1).then(|| {
             self.applied = self.log.snapshot.last.1;
             self.log.snapshot.data.clone()
@@ -88,28 +95,29 @@
 
     /// Whether it is time for a snapshot of the user's state as of the last entry applied: enough entries, or bytes of them, stand
     /// behind the last one. Where a follower is being sent that one it is kept for a while longer.
-    pub fn wants_snapshot(&self) -> bool {
-        let every = self.set.snapshot_every;
+    pub fn should_snapshot(&self) -> bool {
+        let every = self.set.snapshot_after_entries;
         let behind = self.applied.saturating_sub(self.log.snapshot.last.1);
-        let full = behind >= every * HELD || self.log.bytes() >= self.set.snapshot_bytes * 2;
-        let due = behind >= every || (behind > 0 && self.log.bytes() >= self.set.snapshot_bytes);
+        let full = behind >= every * HELD || self.log.size_bytes() >= self.set.snapshot_after_bytes * 2;
+        let due = behind >= every || (behind > 0 && self.log.size_bytes() >= self.set.snapshot_after_bytes);
         due && (full || !self.installing())
     }
 
     /// Whether a follower that is heard is being sent this machine's snapshot, or the entries right behind it.
     fn installing(&self) -> bool {
-        let recent = |peer: &&Progress| self.ticked.saturating_sub(peer.heard) <= 2 * self.set.election;
-        let late = |peer: &Progress| peer.installing && peer.matched < self.log.snapshot.last.1;
+        let recent =
+            |peer: &&Progress| self.ticked.saturating_sub(peer.heard) <= 2 * self.set.election_timeout;
+        let late = |peer: &Progress| peer.installing && peer.match_index < self.log.snapshot.last.1;
         self.role == Role::Leader && self.peers.values().filter(recent).any(late)
     }
 
     /// Takes the user's state as of the last entry applied.
-    pub fn take_snapshot(&mut self, data: Vec<u8>) {
+    pub fn save_snapshot(&mut self, data: Vec<u8>) {
         let Some(term) = self.log.term(self.applied) else { return };
         let members = self.log.members_at(self.applied);
         let snapshot = Snapshot { last: (term, self.applied), members, data };
-        let (behind, bytes) = (self.set.snapshot_every / 4, self.set.snapshot_bytes / 2);
-        let from = self.log.cut(snapshot.clone(), behind, bytes);
+        let (behind, bytes) = (self.set.snapshot_after_entries / 4, self.set.snapshot_after_bytes / 2);
+        let from = self.log.compact(snapshot.clone(), behind, bytes);
         self.placed = Some((snapshot, from));
     }
 }
--- a/crates/consensus/src/member/validity.rs
+++ b/crates/consensus/src/member/validity.rs
@@ -1,7 +1,7 @@
 //! What of a message, or of a disk, can be meant at all. Numbers beyond any real term or index, and entries that don't follow each
 //! other, come from a machine or a disk that has gone wrong: they are dropped before anything is decided by them.
 
-use super::{Hard, Message};
+use super::{HardState, Message};
 use crate::log::{Entry, Snapshot};
 use crate::LogPosition;
 
@@ -17,29 +17,31 @@
 }
 
 /// Whether entries follow each other behind `before`, none of a later term than `term`.
-fn follow(before: u64, entries: &[Entry], term: u64) -> bool {
-    let places = entries.iter().zip(1..).all(|(entry, at)| entry.index == before + at);
+fn follow(previous: u64, entries: &[Entry], term: u64) -> bool {
+    let places = entries.iter().zip(1..).all(|(entry, at)| entry.index == previous + at);
     places && entries.iter().all(|entry| entry.term <= term)
 }
 
 impl Message {
     /// Whether a machine that works can have meant this.
-    pub(super) fn sound(&self) -> bool {
+    pub(super) fn is_valid(&self) -> bool {
         match self {
             Message::RequestVote { term, last, .. } => real(&[*term]) && real_position(last),
-            Message::Vote { term, .. }
+            Message::VoteResponse { term, .. }
             | Message::TransferLeadership { term }
             | Message::DistrustDisk { term } => real(&[*term]),
-            Message::Append { term, before, entries, commit, round } => {
-                real(&[*term, *commit, *round]) && real_position(before) && follow(before.1, entries, *term)
+            Message::AppendEntries { term, previous, entries, commit, round } => {
+                real(&[*term, *commit, *round])
+                    && real_position(previous)
+                    && follow(previous.1, entries, *term)
             }
-            Message::Appended { term, matched, round, .. } => real(&[*term, *matched, *round]),
-            Message::Install { term, last, offset, total, round, part, .. } => {
-                let fits = real(&[*offset, *total]) && offset + part.len() as u64 <= *total;
-                real(&[*term, *round]) && real_position(last) && fits
+            Message::AppendResponse { term, match_index, round, .. } => real(&[*term, *match_index, *round]),
+            Message::InstallSnapshot { term, last, offset, total, round, chunk, .. } => {
+                let accepted = real(&[*offset, *total]) && offset + chunk.len() as u64 <= *total;
+                real(&[*term, *round]) && real_position(last) && accepted
             }
-            Message::Installed { term, last, have, round, .. } => {
-                real(&[*term, *have, *round]) && real_position(last)
+            Message::SnapshotChunkResponse { term, last, received, round, .. } => {
+                real(&[*term, *received, *round]) && real_position(last)
             }
             Message::QueryState { .. } => true,
             Message::StateReport { term, last, .. } => real(&[*term]) && real_position(last),
@@ -47,23 +49,23 @@
     }
 }
 
-impl Hard {
+impl HardState {
     /// The same of what a disk gives back.
-    pub(super) fn sound(&self) -> bool {
+    pub(super) fn is_valid(&self) -> bool {
         real(&[self.term]) && self.target.as_ref().is_none_or(real_position)
     }
 }
 
 impl Snapshot {
     /// The same.
-    pub(crate) fn sound(&self) -> bool {
+    pub(crate) fn is_valid(&self) -> bool {
         real_position(&self.last)
     }
 }
 
 impl Entry {
     /// The same.
-    pub(crate) fn sound(&self) -> bool {
+    pub(crate) fn is_valid(&self) -> bool {
         real(&[self.term, self.index])
     }
 }
--- a/crates/consensus/tests/catch_up.rs
+++ b/crates/consensus/tests/catch_up.rs
@@ -3,7 +3,7 @@
 
 mod simulation;
 
-use milletwing_consensus::{Entry, Member, Message, Options, Payload, Role, Stored};
+use milletwing_consensus::{Entry, Member, Message, Options, Payload, Role, StoredState};
 use simulation::World;
 
 const SILENCE: u64 = 2_000;
@@ -45,7 +45,8 @@
                 world.kill(away, false, 50);
             }
             let newest = world.acked.keys().last().copied().unwrap_or(0);
-            let holds = |member: &Member| !member.lost() && member.positions().0 + 60 >= newest;
+            let holds =
+                |member: &Member| !member.has_lost_state() && member.commit_and_last().0 + 60 >= newest;
             caught_up = round > 8 && world.machines[&away].member.as_ref().is_some_and(holds);
             if caught_up {
                 break;
@@ -56,23 +57,23 @@
     }
 }
 
-fn follower(snapshot_bytes: usize) -> Member {
+fn follower(snapshot_after_bytes: usize) -> Member {
     let options = Options {
         id: 1,
-        election: 300,
-        heartbeat: 50,
-        losses: 1,
-        snapshot_every: 1_000,
-        snapshot_bytes,
-        part: 64,
+        election_timeout: 300,
+        heartbeat_interval: 50,
+        tolerated_losses: 1,
+        snapshot_after_entries: 1_000,
+        snapshot_after_bytes,
+        snapshot_chunk_bytes: 64,
         seed: 1,
     };
-    Member::new(options, &Stored::default(), Some(&[1, 2, 3]), &[1, 2, 3], 0).unwrap()
+    Member::new(options, &StoredState::default(), Some(&[1, 2, 3]), &[1, 2, 3], 0).unwrap()
 }
 
 fn settle(member: &mut Member) {
-    while let Some(work) = member.work() {
-        member.saved(0, work.last);
+    while let Some(work) = member.take_ready() {
+        member.on_persisted(0, work.last);
     }
 }
 
@@ -84,20 +85,20 @@
     let mut snapshots = 0;
     for index in 2..400 {
         let entry = Entry { term: 1, index, payload: Payload::Data(vec![0; 50_000]) };
-        let before = (1, index - 1);
+        let previous = (1, index - 1);
         member.step(
             0,
             2,
-            Message::Append { term: 1, before, entries: vec![entry], commit: index, round: index },
+            Message::AppendEntries { term: 1, previous, entries: vec![entry], commit: index, round: index },
         );
         settle(&mut member);
-        member.committed();
-        if member.wants_snapshot() {
-            member.take_snapshot(vec![1; 10]);
+        member.take_committed();
+        if member.should_snapshot() {
+            member.save_snapshot(vec![1; 10]);
             snapshots += 1;
             settle(&mut member);
         }
-        let held = member.positions().1 .1 - member.first();
+        let held = member.commit_and_last().1 .1 - member.first_index();
         assert!(held * 50_000 <= 2 * LARGEST as u64, "{held} entries are kept");
     }
     assert!((10..60).contains(&snapshots), "{snapshots} snapshots of 20 MB of entries");
@@ -109,23 +110,23 @@
     settle(&mut member);
     let entries = (2..=9).map(|index| Entry { term: 1, index, payload: Payload::Data(vec![index as u8]) });
     let entries: Vec<Entry> = entries.collect();
-    member.step(0, 2, Message::Append { term: 1, before: (1, 1), entries, commit: 1, round: 1 });
+    member.step(0, 2, Message::AppendEntries { term: 1, previous: (1, 1), entries, commit: 1, round: 1 });
     settle(&mut member);
     // A leader that takes this machine for one far behind, by an answer that was held up.
     member.step(
         0,
         2,
-        Message::Install {
+        Message::InstallSnapshot {
             term: 1,
             last: (1, 5),
             members: vec![1, 2, 3],
             offset: 0,
-            part: vec![7],
+            chunk: vec![7],
             total: 1,
-            sum: crc32fast::hash(&[7]),
+            checksum: crc32fast::hash(&[7]),
             round: 2,
         },
     );
-    assert_eq!(member.positions(), (5, (1, 9)), "entries that it had acknowledged are gone");
+    assert_eq!(member.commit_and_last(), (5, (1, 9)), "entries that it had acknowledged are gone");
     assert_eq!(member.role(), Role::Follower);
 }
--- a/crates/consensus/tests/put_back.rs
+++ b/crates/consensus/tests/put_back.rs
@@ -3,16 +3,16 @@
 
 mod simulation;
 
-use milletwing_consensus::{Id, Role, Time};
+use milletwing_consensus::{MemberId, Millis, Role};
 use rand::Rng;
 use simulation::{Disk, World};
 
 /// Longer than any test plays: a machine that stays down.
-const NEVER: Time = 1 << 40;
+const NEVER: Millis = 1 << 40;
 /// Milliseconds between two starts. Five machines are up within this times four, sooner than a silent one is taken for absent.
-const GAP: Time = 120;
+const GAP: Millis = 120;
 
-fn until(world: &mut World, within: Time, done: impl Fn(&World) -> bool) -> bool {
+fn until(world: &mut World, within: Millis, done: impl Fn(&World) -> bool) -> bool {
     let end = world.now + within;
     while world.now < end && !done(world) {
         world.step();
@@ -44,13 +44,13 @@
     world
 }
 
-fn copies(world: &World, of: &[Id]) -> Vec<(Id, Disk)> {
+fn copies(world: &World, of: &[MemberId]) -> Vec<(MemberId, Disk)> {
     of.iter().map(|id| (*id, world.machines[id].disk.clone())).collect()
 }
 
 /// All lose power; those of `old` get an earlier state of their disk; each starts at its place in `order`, the others never.
-fn restart(world: &mut World, old: &[(Id, Disk)], order: &[Id]) {
-    let all: Vec<Id> = world.machines.keys().copied().collect();
+fn restart(world: &mut World, old: &[(MemberId, Disk)], order: &[MemberId]) {
+    let all: Vec<MemberId> = world.machines.keys().copied().collect();
     for id in &all {
         world.kill(*id, false, NEVER);
     }
@@ -60,24 +60,24 @@
         world.ever_lost.insert(*id);
     }
     for (place, id) in order.iter().enumerate() {
-        world.machines.get_mut(id).unwrap().back = world.now + 1 + GAP * place as Time;
+        world.machines.get_mut(id).unwrap().back = world.now + 1 + GAP * place as Millis;
     }
 }
 
 fn holds_all(world: &World) -> bool {
     world.machines.values().filter(|it| it.member.is_some()).all(|it| {
         world.acked.iter().all(|(index, value)| it.state.contains(&(*index, *value)))
-            && it.member.as_ref().is_some_and(|member| member.confirmed() && !member.lost())
+            && it.member.as_ref().is_some_and(|member| member.start_confirmed() && !member.has_lost_state())
     })
 }
 
-fn orders(of: &[Id]) -> Vec<Vec<Id>> {
+fn orders(of: &[MemberId]) -> Vec<Vec<MemberId>> {
     if of.len() <= 1 {
         return vec![of.to_vec()];
     }
     let mut all = Vec::new();
     for first in of {
-        let rest: Vec<Id> = of.iter().copied().filter(|id| id != first).collect();
+        let rest: Vec<MemberId> = of.iter().copied().filter(|id| id != first).collect();
         for mut order in orders(&rest) {
             order.insert(0, *first);
             all.push(order);
@@ -87,11 +87,11 @@
 }
 
 /// What the disks that are put back have helped to acknowledge stands on one other disk only.
-fn put_back_in_order(seed: u64, count: u32, old: u32, order: &[Id]) {
+fn put_back_in_order(seed: u64, count: u32, old: u32, order: &[MemberId]) {
     let mut world = begun(seed, count);
     let holder = old + 1;
     let before = copies(&world, &(1..=old).collect::<Vec<_>>());
-    let absent: Vec<Id> = (1..=count).filter(|id| *id > holder).take(world.losses).collect();
+    let absent: Vec<MemberId> = (1..=count).filter(|id| *id > holder).take(world.losses).collect();
     for id in &absent {
         world.kill(*id, false, NEVER);
     }
@@ -106,7 +106,7 @@
 #[test]
 fn nothing_acknowledged_is_lost_with_old_disks_in_any_order_of_starts() {
     for (count, old) in [(3, 1), (5, 1), (5, 2)] {
-        let ids: Vec<Id> = (1..=count).collect();
+        let ids: Vec<MemberId> = (1..=count).collect();
         for (seed, order) in orders(&ids).iter().enumerate() {
             put_back_in_order(seed as u64, count, old, order);
         }
@@ -116,7 +116,7 @@
 #[test]
 fn a_majority_that_starts_without_the_rest_serves() {
     for count in [3, 5] {
-        let ids: Vec<Id> = (1..=count).collect();
+        let ids: Vec<MemberId> = (1..=count).collect();
         let majority = count as usize / 2 + 1;
         for (seed, order) in orders(&ids).iter().enumerate() {
             let mut world = begun(seed as u64, count);
@@ -134,7 +134,7 @@
 #[test]
 fn a_majority_serves_however_few_losses_are_to_be_borne() {
     for (count, losses) in [(3, 0), (5, 0), (5, 1)] {
-        let ids: Vec<Id> = (1..=count).collect();
+        let ids: Vec<MemberId> = (1..=count).collect();
         for (seed, order) in orders(&ids).iter().enumerate().step_by(7) {
             let mut world = begun(seed as u64, count);
             world.losses = losses;
@@ -179,9 +179,9 @@
         let count = if seed.is_multiple_of(2) { 3 } else { 5 };
         let mut world = begun(seed, count);
         for _ in 0..4 {
-            let ids: Vec<Id> = world.machines.keys().copied().collect();
+            let ids: Vec<MemberId> = world.machines.keys().copied().collect();
             let old = world.chance.random_range(1..=world.losses);
-            let of: Vec<Id> =
+            let of: Vec<MemberId> =
                 ids.iter().copied().filter(|_| world.chance.random_bool(0.7)).take(old).collect();
             let before = copies(&world, &of);
             let absent = ids.iter().copied().find(|id| !of.contains(id) && world.chance.random_bool(0.7));
@@ -223,7 +223,7 @@
     until(&mut world, 10_000, |_| false);
     let member = world.machines[&other].member.as_ref().unwrap();
     assert!(
-        !member.confirmed() && member.role() == Role::Follower,
+        !member.start_confirmed() && member.role() == Role::Follower,
         "alone it can't know what its disk lacks"
     );
 }
--- a/crates/consensus/tests/replacement.rs
+++ b/crates/consensus/tests/replacement.rs
@@ -2,7 +2,7 @@
 
 mod simulation;
 
-use milletwing_consensus::{Id, Role};
+use milletwing_consensus::{MemberId, Role};
 use simulation::World;
 
 /// Milliseconds after which a replaced machine's successor counts, as operators are promised it.
@@ -49,7 +49,7 @@
 
 /// Loses as many machines as may be lost at once, the newcomers last.
 fn lose(world: &mut World, losses: usize) {
-    let oldest: Vec<Id> = world.machines.keys().copied().take(losses).collect();
+    let oldest: Vec<MemberId> = world.machines.keys().copied().take(losses).collect();
     for id in oldest {
         world.kill(id, false, 1_000_000);
     }
@@ -60,7 +60,7 @@
     for seed in 0..120 {
         let count = if seed % 2 == 0 { 3 } else { 5 };
         let mut world = settled(seed, count);
-        let old = 1 + (seed as Id / 2) % count;
+        let old = 1 + (seed as MemberId / 2) % count;
         world.newest += 1;
         let newcomer = world.machine(world.now, false);
         world.machines.insert(world.newest, newcomer);
@@ -87,7 +87,7 @@
     for seed in 0..60 {
         let count = if seed % 2 == 0 { 3 } else { 5 };
         let mut world = settled(seed, count);
-        let old = 1 + (seed as Id / 2) % count;
+        let old = 1 + (seed as MemberId / 2) % count;
         world.replace(old, 1 + 40 * (seed % 25));
         let newest = world.newest;
         while world.machines[&newest].member.is_none() {
@@ -116,8 +116,8 @@
             let Some(leader) = leader.into_iter().find(|it| it.role() == Role::Leader) else { continue };
             if leader.members().contains(&newest) && !joined {
                 joined = true;
-                let (commit, _) = leader.positions();
-                let holds = world.machines[&newest].member.as_ref().map_or(0, |it| it.positions().1 .1);
+                let (commit, _) = leader.commit_and_last();
+                let holds = world.machines[&newest].member.as_ref().map_or(0, |it| it.commit_and_last().1 .1);
                 // At most what was proposed within an election time is on its way.
                 assert!(holds + 20 >= commit, "seed {seed}: it votes with {holds} of {commit} entries");
             }
--- a/crates/consensus/tests/simulation/mod.rs
+++ b/crates/consensus/tests/simulation/mod.rs
@@ -3,25 +3,25 @@
 #![allow(dead_code)] // each test file uses a part of it
 
 use milletwing_consensus::{
-    Batch, Entry, Id, Member, Message, Options, Payload, Retirement, Role, Stored, Time,
+    Batch, Entry, Member, MemberId, Message, Millis, Options, Payload, Retirement, Role, StoredState,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Milliseconds after which a driver takes a write for one that hangs.
-const HANGS: Time = 150;
+const HANGS: Millis = 150;
 
 #[derive(Default, Clone)]
 pub struct Disk {
-    hard: Option<Vec<u8>>,
+    hard_state: Option<Vec<u8>>,
     entries: BTreeMap<u64, Vec<u8>>,
     snapshot: Option<Vec<u8>>,
 }
 
 impl Disk {
     pub fn write(&mut self, batch: &Batch) {
-        self.hard = batch.hard.clone().or(self.hard.take());
+        self.hard_state = batch.hard_state.clone().or(self.hard_state.take());
         if let Some((from, _)) = batch.entries.first() {
             self.entries.split_off(from);
         }
@@ -32,9 +32,9 @@
         }
     }
 
-    pub fn stored(&self) -> Stored {
-        Stored {
-            hard: self.hard.clone(),
+    pub fn stored(&self) -> StoredState {
+        StoredState {
+            hard_state: self.hard_state.clone(),
             entries: self.entries.values().cloned().collect(),
             snapshot: self.snapshot.clone(),
         }
@@ -43,10 +43,10 @@
 
 /// A write under way.
 pub struct Writing {
-    pub begun: Time,
+    pub begun: Millis,
     /// When it is down, unless the disk hangs.
-    pub due: Time,
-    pub work: milletwing_consensus::Work,
+    pub due: Millis,
+    pub work: milletwing_consensus::Ready,
 }
 
 pub struct Machine {
@@ -56,45 +56,45 @@
     pub state: Vec<(u64, u64)>,
     pub writing: Option<Writing>,
     /// Until then its disk takes nothing.
-    pub stuck: Time,
-    pub back: Time,
+    pub stuck: Millis,
+    pub back: Millis,
     pub first: bool,
     /// How fast its clock runs.
     pub rate: f64,
 }
 
 impl Machine {
-    pub fn clock(&self, now: Time) -> Time {
-        (now as f64 * self.rate) as Time + 1
+    pub fn clock(&self, now: Millis) -> Millis {
+        (now as f64 * self.rate) as Millis + 1
     }
 }
 
 pub struct World {
-    pub now: Time,
+    pub now: Millis,
     pub chance: Pcg64Mcg,
-    pub machines: BTreeMap<Id, Machine>,
-    pub wire: BTreeMap<(Time, u64), (Id, Id, Message)>,
+    pub machines: BTreeMap<MemberId, Machine>,
+    pub wire: BTreeMap<(Millis, u64), (MemberId, MemberId, Message)>,
     pub sent: u64,
-    pub cuts: BTreeSet<(Id, Id)>,
+    pub cuts: BTreeSet<(MemberId, MemberId)>,
     pub loss: f64,
     pub losses: usize,
     pub truth: BTreeMap<u64, u64>,
     pub acked: BTreeMap<u64, u64>,
-    pub waiting: Vec<(Id, u64, u64, u64)>,
-    pub reads: BTreeMap<(Id, u64), u64>,
+    pub waiting: Vec<(MemberId, u64, u64, u64)>,
+    pub reads: BTreeMap<(MemberId, u64), u64>,
     pub next: u64,
     pub answered: usize,
-    pub wiped: BTreeSet<Id>,
+    pub wiped: BTreeSet<MemberId>,
     /// Machines whose disk was lost at any time.
-    pub ever_lost: BTreeSet<Id>,
-    pub gone: Option<Id>,
+    pub ever_lost: BTreeSet<MemberId>,
+    pub gone: Option<MemberId>,
     /// Where the longest log ended when all machines left were the members of each other.
     pub out_by: Option<u64>,
-    pub newest: Id,
+    pub newest: MemberId,
     /// Bytes of a snapshot in one message.
     pub part: usize,
     /// The machine that was told to stop.
-    pub leaving: Option<Id>,
+    pub leaving: Option<MemberId>,
 }
 
 impl World {
@@ -130,7 +130,7 @@
         world
     }
 
-    pub fn machine(&mut self, back: Time, first: bool) -> Machine {
+    pub fn machine(&mut self, back: Millis, first: bool) -> Machine {
         let rate = self.chance.random_range(0.9..1.1);
         Machine {
             disk: Disk::default(),
@@ -144,17 +144,17 @@
         }
     }
 
-    pub fn start(&mut self, id: Id) {
-        let founders: Vec<Id> = vec![1, 2, 3];
-        let seeds: Vec<Id> = self.machines.keys().copied().collect();
+    pub fn start(&mut self, id: MemberId) {
+        let founders: Vec<MemberId> = vec![1, 2, 3];
+        let seeds: Vec<MemberId> = self.machines.keys().copied().collect();
         let options = Options {
             id,
-            election: 300,
-            heartbeat: 50,
-            losses: self.losses,
-            snapshot_every: 20,
-            snapshot_bytes: 1 << 20,
-            part: self.part,
+            election_timeout: 300,
+            heartbeat_interval: 50,
+            tolerated_losses: self.losses,
+            snapshot_after_entries: 20,
+            snapshot_after_bytes: 1 << 20,
+            snapshot_chunk_bytes: self.part,
             seed: self.chance.random(),
         };
         let machine = self.machines.get_mut(&id).unwrap();
@@ -168,7 +168,7 @@
     }
 
     /// Ends a process. A write under way is down, or not.
-    pub fn kill(&mut self, id: Id, wipe: bool, back: Time) {
+    pub fn kill(&mut self, id: MemberId, wipe: bool, back: Millis) {
         let down = self.chance.random_bool(0.5);
         let machine = self.machines.get_mut(&id).unwrap();
         if let Some(writing) = machine.writing.take().filter(|_| down) {
@@ -187,14 +187,15 @@
 
     /// Disks that are lost and not made whole yet.
     pub fn lost(&mut self) -> usize {
-        let whole = |id: &Id| self.machines[id].member.as_ref().is_some_and(|member| !member.lost());
+        let whole =
+            |id: &MemberId| self.machines[id].member.as_ref().is_some_and(|member| !member.has_lost_state());
         self.wiped.retain(|id| !whole(id));
         self.wiped.len() + usize::from(self.gone.is_some())
     }
 
     pub fn step(&mut self) {
         self.now += 5;
-        let ids: Vec<Id> = self.machines.keys().copied().collect();
+        let ids: Vec<MemberId> = self.machines.keys().copied().collect();
         for id in &ids {
             let machine = &self.machines[id];
             if machine.member.is_none() && self.now >= machine.back {
@@ -217,7 +218,7 @@
         }
     }
 
-    pub fn drive(&mut self, id: Id) {
+    pub fn drive(&mut self, id: MemberId) {
         let (now, slow) = (self.now, self.chance.random_range(0..30));
         let machine = self.machines.get_mut(&id).unwrap();
         let clock = machine.clock(now);
@@ -225,23 +226,23 @@
         if now.is_multiple_of(25) {
             member.tick(clock);
         }
-        let mut out = member.unbound();
+        let mut out = member.take_immediate_messages();
         let stuck = machine.stuck;
         if let Some(writing) = machine.writing.take_if(|it| now >= it.due.max(stuck)) {
             machine.disk.write(&writing.work.batch);
-            member.saved(clock, writing.work.last);
+            member.on_persisted(clock, writing.work.last);
             out.extend(writing.work.messages);
         }
         if let Some(writing) = machine.writing.as_mut().filter(|it| now > it.begun + HANGS) {
-            if !member.suspended() && now.is_multiple_of(2) {
+            if !member.writes_suspended() && now.is_multiple_of(2) {
                 writing.work.messages.clear(); // the disk refused, and the driver tries again
             }
-            member.suspend(clock);
+            member.suspend_writes(clock);
         }
-        if let Some(data) = member.restored() {
+        if let Some(data) = member.take_restored_state() {
             machine.state = fold(&data);
         }
-        for entry in member.committed() {
+        for entry in member.take_committed() {
             let Entry { term, index, payload } = entry;
             if let Payload::Data(data) = payload {
                 let value = u64::from_le_bytes(data.try_into().unwrap());
@@ -258,10 +259,10 @@
                 });
             }
         }
-        if member.wants_snapshot() {
-            member.take_snapshot(unfold(&machine.state));
+        if member.should_snapshot() {
+            member.save_snapshot(unfold(&machine.state));
         }
-        for token in member.reads() {
+        for token in member.take_confirmed_reads() {
             if let Some(least) = self.reads.remove(&(id, token)) {
                 let newest = machine.state.last().map_or(0, |(index, _)| *index);
                 assert!(newest >= least, "a read as of entry {newest} follows an acknowledged {least}");
@@ -269,7 +270,7 @@
             }
         }
         if machine.writing.is_none() {
-            if let Some(work) = member.work() {
+            if let Some(work) = member.take_ready() {
                 let due = now + if work.batch.is_empty() { 0 } else { slow };
                 machine.writing = Some(Writing { begun: now, due, work });
             }
@@ -279,7 +280,7 @@
         }
     }
 
-    pub fn post(&mut self, from: Id, to: Id, message: Message) {
+    pub fn post(&mut self, from: MemberId, to: MemberId, message: Message) {
         // No disk is put back here, but one that was lost may count again before a leader hears that it was: others never.
         let forgot = matches!(message, Message::DistrustDisk { .. });
         assert!(!forgot || self.ever_lost.contains(&to), "{from} says that {to} has forgotten");
@@ -301,7 +302,7 @@
             };
             self.next += 1;
             if self.next.is_multiple_of(3) {
-                if member.read(clock, self.next) {
+                if member.request_read(clock, self.next) {
                     self.reads.insert((*id, self.next), acked);
                 }
             } else if let Some((term, index)) = member.propose(clock, self.next.to_le_bytes().to_vec()) {
@@ -311,16 +312,16 @@
     }
 
     /// Machines that are no members join, one at a time; those that others have replaced are taken out.
-    pub fn join(&mut self, silence: Time) {
+    pub fn join(&mut self, silence: Millis) {
         // Only one that has asked the others and owes nothing asks to be taken in.
         let leaving = self.leaving;
-        let asks = |(id, machine): (&Id, &Machine)| {
+        let asks = |(id, machine): (&MemberId, &Machine)| {
             if leaving == Some(*id) {
                 return None;
             }
-            machine.member.as_ref().is_some_and(|member| !member.lost()).then_some(*id)
+            machine.member.as_ref().is_some_and(|member| !member.has_lost_state()).then_some(*id)
         };
-        let all: Vec<Id> = self.machines.iter().filter_map(asks).collect();
+        let all: Vec<MemberId> = self.machines.iter().filter_map(asks).collect();
         for machine in self.machines.values_mut() {
             let clock = machine.clock(self.now);
             let Some(member) = machine.member.as_mut().filter(|member| member.role() == Role::Leader) else {
@@ -328,19 +329,19 @@
             };
             let mut members = member.members().to_vec();
             for new in all.iter().filter(|id| !members.contains(id)) {
-                member.admit(clock, *new);
+                member.add_learner(clock, *new);
             }
-            if let Some(old) = member.superfluous(clock, silence) {
+            if let Some(old) = member.silent_surplus_member(clock, silence) {
                 members.retain(|id| *id != old);
-                member.change(clock, members);
+                member.change_membership(clock, members);
             }
         }
         // It counts among the losses until every machine that is left knows that it is out for good: that is committed.
         if self.joined() {
-            let last = |it: &Machine| it.member.as_ref().map_or(0, |it| it.positions().1 .1);
+            let last = |it: &Machine| it.member.as_ref().map_or(0, |it| it.commit_and_last().1 .1);
             let end = self.machines.values().map(last).max().unwrap_or(0);
             let out = *self.out_by.get_or_insert(end);
-            let knows = |it: &Machine| it.member.as_ref().is_some_and(|it| it.positions().0 >= out);
+            let knows = |it: &Machine| it.member.as_ref().is_some_and(|it| it.commit_and_last().0 >= out);
             if self.machines.values().all(knows) {
                 (self.gone, self.out_by) = (None, None);
             }
@@ -350,13 +351,13 @@
     }
 
     /// Whoever leads.
-    pub fn leader(&self) -> Option<Id> {
+    pub fn leader(&self) -> Option<MemberId> {
         let leads = |it: &Machine| it.member.as_ref().is_some_and(|it| it.role() == Role::Leader);
         self.machines.iter().find(|(_, it)| leads(it)).map(|(id, _)| *id)
     }
 
     /// A member that is to stop asks whoever leads, as often as it takes. True once it may stop.
-    pub fn retired(&mut self, old: Id) -> bool {
+    pub fn retired(&mut self, old: MemberId) -> bool {
         self.leaving = Some(old);
         let now = self.now;
         let led = self.machines.values_mut().find_map(|machine| {
@@ -365,27 +366,27 @@
         });
         let Some((clock, leader)) = led else { return false };
         if leader.leader() == Some(old) {
-            leader.hand_over(clock);
+            leader.transfer_leadership(clock);
             return false;
         }
-        let committed = leader.positions().0;
+        let committed = leader.commit_and_last().0;
         match leader.retire(clock, old) {
             Some(Retirement::MayStop) => true,
-            Some(Retirement::Leaves(index)) => committed >= index,
+            Some(Retirement::RemovedAt(index)) => committed >= index,
             Some(Retirement::Wait) | None => false,
         }
     }
 
     /// Whether all machines are members that count.
     pub fn joined(&self) -> bool {
-        let all: Vec<Id> = self.machines.keys().copied().collect();
+        let all: Vec<MemberId> = self.machines.keys().copied().collect();
         self.machines
             .values()
-            .all(|it| it.member.as_ref().is_some_and(|it| !it.lost() && it.members() == all))
+            .all(|it| it.member.as_ref().is_some_and(|it| !it.has_lost_state() && it.members() == all))
     }
 
     /// A machine is gone for good; an empty one comes in its place, under another number.
-    pub fn replace(&mut self, id: Id, back: Time) {
+    pub fn replace(&mut self, id: MemberId, back: Millis) {
         self.kill(id, true, 0);
         self.machines.remove(&id);
         self.wiped.remove(&id);
@@ -396,7 +397,7 @@
     }
 
     pub fn trouble(&mut self) {
-        let ids: Vec<Id> = self.machines.keys().copied().collect();
+        let ids: Vec<MemberId> = self.machines.keys().copied().collect();
         let pick = ids[self.chance.random_range(0..ids.len())];
         let back = self.chance.random_range(50..1500);
         match self.chance.random_range(0..10) {
@@ -405,8 +406,9 @@
             2 => ids.iter().for_each(|id| self.kill(*id, false, back)),
             // The machine that acknowledged last loses its disk while all others lose power.
             3 if self.lost() < self.losses => {
-                let led =
-                    |id: &&Id| self.machines[*id].member.as_ref().is_some_and(|it| it.role() == Role::Leader);
+                let led = |id: &&MemberId| {
+                    self.machines[*id].member.as_ref().is_some_and(|it| it.role() == Role::Leader)
+                };
                 let leader = ids.iter().find(led).copied().unwrap_or(pick);
                 ids.iter().for_each(|id| self.kill(*id, *id == leader, back));
             }
@@ -464,22 +466,23 @@
                 world.join(1_000);
             }
             let done = |machine: &Machine| {
-                machine.member.as_ref().is_some_and(|member| !member.lost())
+                machine.member.as_ref().is_some_and(|member| !member.has_lost_state())
                     && world.acked.iter().all(|(index, value)| machine.state.contains(&(*index, *value)))
             };
             healed = world.now.is_multiple_of(1_000) && led && world.machines.values().all(done);
         }
         for (id, machine) in &world.machines {
             let member = machine.member.as_ref();
-            let said =
-                member.map(|it| (it.role(), it.term(), it.lost(), it.members().to_vec(), it.positions()));
+            let said = member.map(|it| {
+                (it.role(), it.term(), it.has_lost_state(), it.members().to_vec(), it.commit_and_last())
+            });
             if std::env::var("CONSENSUS_SEED").is_ok() {
                 println!("{id}: {said:?}");
             }
         }
         for (id, machine) in &world.machines {
             assert!(
-                machine.member.as_ref().is_some_and(|member| !member.lost()),
+                machine.member.as_ref().is_some_and(|member| !member.has_lost_state()),
                 "machine {id} is not whole again"
             );
             for (index, value) in &world.acked {
--- a/crates/control-plane/src/calls.rs
+++ b/crates/control-plane/src/calls.rs
@@ -2,13 +2,13 @@
 //! process, and sent to the machine that answers. Anything else is dropped: it may be the answer to a call of an earlier life that
 //! waited in a queue, or to one given up on and sent anew.
 
-use milletwing_consensus::Id;
+use milletwing_consensus::MemberId;
 use milletwing_wire::{Answer, CallId};
 use std::collections::HashMap;
 use tokio::sync::oneshot;
 
 struct Pending {
-    asked: Id,
+    asked: MemberId,
     answer: oneshot::Sender<Answer>,
 }
 
@@ -27,7 +27,7 @@
     }
 
     /// A call to a machine: the name to send with it, and where its answer comes out.
-    pub fn begin(&mut self, asked: Id) -> (CallId, oneshot::Receiver<Answer>) {
+    pub fn begin(&mut self, asked: MemberId) -> (CallId, oneshot::Receiver<Answer>) {
         self.next += 1;
         let (answer, wait) = oneshot::channel();
         self.pending.insert(self.next, Pending { asked, answer });
@@ -35,7 +35,7 @@
     }
 
     /// A machine answers. False where no call of this life waits for a word from it.
-    pub fn answered(&mut self, from: Id, call: CallId, answer: Answer) -> bool {
+    pub fn answered(&mut self, from: MemberId, call: CallId, answer: Answer) -> bool {
         if call.life != self.life || self.pending.get(&call.number).is_none_or(|it| it.asked != from) {
             return false;
         }
--- a/crates/control-plane/src/core.rs
+++ b/crates/control-plane/src/core.rs
@@ -16,7 +16,7 @@
 use crate::metrics::Metrics;
 use membership::Margin;
 use milletwing_config::{event, Settings};
-use milletwing_consensus::{Id, LogPosition, Member, Message, Options, Role};
+use milletwing_consensus::{LogPosition, Member, MemberId, Message, Options, Role};
 use milletwing_drift_detection::Finding;
 use milletwing_outlier_detection::{Board, Observed, Tally};
 use milletwing_replicated_state::{EdgeStatus, Registry, View};
@@ -83,7 +83,7 @@
     /// Where the log ends with it.
     last: LogPosition,
     /// What may leave once it is on the disk.
-    messages: Vec<(Id, Message)>,
+    messages: Vec<(MemberId, Message)>,
     /// When it was handed out.
     since: Time,
 }
@@ -91,7 +91,7 @@
 /// What the disk gave at the start, and the way to it.
 pub struct Writes {
     /// What stood on it.
-    pub stored: milletwing_consensus::Stored,
+    pub stored: milletwing_consensus::StoredState,
     /// Batches to be written, one at a time.
     pub send: std::sync::mpsc::SyncSender<milletwing_consensus::Batch>,
 }
@@ -111,10 +111,10 @@
     /// Marshals and edges as they were heard of.
     pub registry: Registry,
     /// Other machines of the core that were heard of.
-    pub known: Vec<Id>,
-    links: HashMap<Id, Link>,
+    pub known: Vec<MemberId>,
+    links: HashMap<MemberId, Link>,
     /// The newest connection that each machine has made to this one.
-    connections: HashMap<Id, u64>,
+    connections: HashMap<MemberId, u64>,
     feeds: BTreeMap<u64, Feed>,
     next: u64,
     chance: Pcg64Mcg,
@@ -133,7 +133,7 @@
     /// Further losses that are borne, as they were told.
     margin: Margin,
     role: Role,
-    leader: Option<Id>,
+    leader: Option<MemberId>,
     swept: Time,
     told: Time,
     beaten: Time,
@@ -151,7 +151,7 @@
     /// Its start is confirmed, as it was told; and up to where its log lacked entries when that was told.
     confirmed: bool,
     behind: Option<LogPosition>,
-    members: Vec<Id>,
+    members: Vec<MemberId>,
     /// Trials under way, as this machine judges them while it leads.
     trials: BTreeMap<u64, Judged>,
     /// Edges that took traffic when last looked at, and when one was new among them; at a start, that moment.
@@ -166,7 +166,7 @@
     /// When this machine folded the bad end of a service's roll-out.
     reverted: BTreeMap<String, Time>,
     /// When machines asked to be taken in.
-    joins: BTreeMap<Id, Time>,
+    joins: BTreeMap<MemberId, Time>,
     /// The whole state as edges get it, as of an entry: made once for all that ask.
     whole: Option<(u64, Rc<Vec<u8>>)>,
 }
@@ -178,12 +178,12 @@
         let seeds = settings.seeds();
         let options = Options {
             id: settings.id(),
-            election: 600,
-            heartbeat: 100,
-            losses: settings.timers.resilience.machine_losses,
-            snapshot_every: 1_000,
-            snapshot_bytes: 8 << 20,
-            part: 128 << 10,
+            election_timeout: 600,
+            heartbeat_interval: 100,
+            tolerated_losses: settings.timers.resilience.machine_losses,
+            snapshot_after_entries: 1_000,
+            snapshot_after_bytes: 8 << 20,
+            snapshot_chunk_bytes: 128 << 10,
             seed,
         };
         let founders = settings.own.initial_attach.then_some(seeds.as_slice());
@@ -192,7 +192,7 @@
         let restored = view.index;
         // Half of what may pass until a change is in force: the rest is for the way here.
         let lag = (settings.timers.guarantees.applyS * 500.0) as Time;
-        let lost = member.lost();
+        let lost = member.has_lost_state();
         // As if just now: when these came to their bad ends is not known.
         let reverted = reverted_services(&view).map(|service| (service, 1)).collect();
         if lost {
@@ -269,13 +269,13 @@
         loop {
             core.fold();
             core.note_changes();
-            for (to, message) in core.member.unbound() {
+            for (to, message) in core.member.take_immediate_messages() {
                 core.post(to, &Peer::Consensus(message));
             }
             if core.out.is_some() {
                 return;
             }
-            let Some(work) = core.member.work() else { return };
+            let Some(work) = core.member.take_ready() else { return };
             if work.batch.is_empty() {
                 for (to, message) in work.messages {
                     core.post(to, &Peer::Consensus(message));
@@ -299,10 +299,10 @@
             if let Some(out) = core.out.take() {
                 let now = core.now();
                 core.metrics.written(Duration::from_millis(now.saturating_sub(out.since)));
-                if core.member.suspended() {
+                if core.member.writes_suspended() {
                     event!(DiskBack, "after {} ms", now.saturating_sub(out.since));
                 }
-                core.member.saved(now, out.last);
+                core.member.on_persisted(now, out.last);
                 for (to, message) in out.messages {
                     core.post(to, &Peer::Consensus(message));
                 }
@@ -326,10 +326,10 @@
 
     /// Promises nothing until the disk is back.
     fn suspend(&mut self, why: &str) {
-        if !self.member.suspended() {
+        if !self.member.writes_suspended() {
             event!(DiskFailed, "{why}: nothing is promised until it is back");
             let now = self.now();
-            self.member.suspend(now);
+            self.member.suspend_writes(now);
         }
     }
 
@@ -352,7 +352,7 @@
             event!(Follows, "term {}: {name}", self.member.term());
         }
         (self.role, self.leader) = (role, leader);
-        if self.lost && !self.member.lost() {
+        if self.lost && !self.member.has_lost_state() {
             self.lost = false;
             event!(Whole, "as of entry {}", self.view.index);
         }
@@ -370,7 +370,7 @@
 
     /// A peer's message on a connection that it made. False where that was replaced by a newer one: the message may be an earlier
     /// life's and counts for nothing, and the connection is to be closed, so that a peer that lives makes another.
-    pub fn heard(shared: &Shared, from: Id, connection: u64, peer: Peer) -> bool {
+    pub fn heard(shared: &Shared, from: MemberId, connection: u64, peer: Peer) -> bool {
         {
             let core = &mut *shared.borrow_mut();
             if core.connections.get(&from) != Some(&connection) {
@@ -416,7 +416,7 @@
                     let replaced = core.replaced();
                     core.joins.retain(|_, at| now.saturating_sub(*at) < replaced);
                     if core.member.members().len() < MOST_MEMBERS {
-                        core.member.admit(now, from);
+                        core.member.add_learner(now, from);
                     }
                 }
             }
@@ -497,7 +497,10 @@
             // One that is not a member, or that hears no leader and may have been replaced, asks all it knows: whoever leads
             // takes it in.
             let outside = !self.member.members().contains(&self.settings.id());
-            if !self.leaving && !self.member.lost() && (outside || !self.member.fresh(now, 2_000)) {
+            if !self.leaving
+                && !self.member.has_lost_state()
+                && (outside || !self.member.has_recent_state(now, 2_000))
+            {
                 for id in self.known.clone() {
                     self.post(id, &Peer::Join);
                 }
--- a/crates/control-plane/src/core/directory.rs
+++ b/crates/control-plane/src/core/directory.rs
@@ -38,7 +38,7 @@
     pub fn resolve(&self, host: &str, region: &str) -> Resolution {
         let now = self.now();
         // One that is cut off keeps what it last knew.
-        let reach = if self.member.fresh(now, FRESH) { EDGE_HEARD } else { 30_000 };
+        let reach = if self.member.has_recent_state(now, FRESH) { EDGE_HEARD } else { 30_000 };
         let known = || self.registry.edges(now).filter(|(edge, _)| !self.view.rests(edge.id, edge.life));
         let ready: Vec<&EdgeStatus> =
             known().filter(|(edge, ago)| edge.ready && *ago <= reach).map(|(edge, _)| edge).collect();
--- a/crates/control-plane/src/core/evidence.rs
+++ b/crates/control-plane/src/core/evidence.rs
@@ -2,7 +2,7 @@
 
 use super::{Core, Time, FRESH};
 use milletwing_config::event;
-use milletwing_consensus::{Id, Role};
+use milletwing_consensus::{MemberId, Role};
 use milletwing_drift_detection::{Digest, Finding, Names, Order};
 use milletwing_outlier_detection::{key, Known, Move, Observed};
 use milletwing_replicated_state::{Command, EdgeStatus};
@@ -21,7 +21,7 @@
             self.reports(edge.id, edge.life, reports);
         }
         self.observed(now, &edge, observed);
-        let fresh = self.member.fresh(now, FRESH) && !self.member.lost();
+        let fresh = self.member.has_recent_state(now, FRESH) && !self.member.has_lost_state();
         let findings = self.drift.beat(now, &self.view, (edge.id, index), reflection, sample, fresh);
         let (number, life) = (edge.id, edge.life);
         self.registry.edge(now, edge, 0);
@@ -132,7 +132,7 @@
     }
 
     /// Another machine of the core says what its entries make.
-    pub(super) fn view_digest(&mut self, now: Time, from: Id, index: u64, digest: &Digest) {
+    pub(super) fn view_digest(&mut self, now: Time, from: MemberId, index: u64, digest: &Digest) {
         if self.drift.view_digest(now, from, index, digest) {
             event!(CoreDiffers, "{}, as of entry {index}", std::net::Ipv4Addr::from_bits(from));
         }
--- a/crates/control-plane/src/core/folding.rs
+++ b/crates/control-plane/src/core/folding.rs
@@ -10,7 +10,7 @@
 impl Core {
     /// Folds what is committed, answers those who wait for it, and tells the edges.
     pub(super) fn fold(&mut self) {
-        if let Some(data) = self.member.restored() {
+        if let Some(data) = self.member.take_restored_state() {
             match View::unpacked(&data) {
                 Ok(view) => self.view = view,
                 Err(problem) => {
@@ -24,7 +24,7 @@
             self.recent_bytes = 0;
         }
         let mut repairs = Vec::new();
-        for entry in self.member.committed() {
+        for entry in self.member.take_committed() {
             let (answer, bytes) = match entry.payload {
                 Payload::Data(bytes) => match Command::read(&bytes) {
                     Ok(command) => {
@@ -49,7 +49,7 @@
                     }
                     Err(problem) => (Answer::Refused(400, problem), None),
                 },
-                Payload::Blank | Payload::Members(_) => (Answer::Done(entry.index), None),
+                Payload::Noop | Payload::Members(_) => (Answer::Done(entry.index), None),
             };
             self.view.index = entry.index;
             if let Some(bytes) = bytes {
@@ -65,12 +65,12 @@
                 let _ = waiter.send(if term == entry.term { answer.clone() } else { Answer::Unsure });
             }
         }
-        if self.member.wants_snapshot() {
+        if self.member.should_snapshot() {
             let data = self.view.packed();
-            self.member.take_snapshot(data);
+            self.member.save_snapshot(data);
         }
         let index = self.view.index;
-        for token in self.member.reads() {
+        for token in self.member.take_confirmed_reads() {
             if let Some(read) = self.reads.remove(&token) {
                 let _ = read.send(Answer::Done(index));
             }
--- a/crates/control-plane/src/core/membership.rs
+++ b/crates/control-plane/src/core/membership.rs
@@ -2,7 +2,7 @@
 
 use super::{Core, Shared, Time};
 use milletwing_config::event;
-use milletwing_consensus::Id;
+use milletwing_consensus::MemberId;
 use milletwing_consensus::Retirement;
 use milletwing_replicated_state::registry::Verdict;
 use milletwing_wire::{Answer, CoreRequest};
@@ -25,9 +25,9 @@
 impl Core {
     /// Tells, once, that the start of this machine is confirmed, or that its disk holds less than the others.
     pub(super) fn note_start(&mut self) {
-        let behind = self.member.behind();
+        let behind = self.member.catch_up_target();
         if let Some((term, index)) = behind.filter(|_| self.behind != behind) {
-            let (_, last) = self.member.positions();
+            let (_, last) = self.member.commit_and_last();
             event!(
                 DiskBehind,
                 "its log ends at {} of term {}, others' at {index} of term {term}",
@@ -36,24 +36,25 @@
             );
         }
         self.behind = behind;
-        let confirmed = self.member.confirmed();
-        if confirmed && !self.confirmed && !self.member.lost() {
-            event!(StartConfirmed, "as of entry {}", self.member.positions().1 .1);
+        let confirmed = self.member.start_confirmed();
+        if confirmed && !self.confirmed && !self.member.has_lost_state() {
+            event!(StartConfirmed, "as of entry {}", self.member.commit_and_last().1 .1);
         }
         self.confirmed = confirmed;
     }
 
     /// Ends the membership of a machine that another has replaced.
     pub(super) fn replace(&mut self, now: Time) {
-        let silent = self.member.superfluous(now, self.replaced()).filter(|id| !self.joined(*id, now));
+        let silent =
+            self.member.silent_surplus_member(now, self.replaced()).filter(|id| !self.joined(*id, now));
         if let Some(id) = silent {
             let rest = self.member.members().iter().copied().filter(|member| *member != id).collect();
-            self.member.change(now, rest);
+            self.member.change_membership(now, rest);
         }
     }
 
     /// Whether a machine is on its way in.
-    fn joined(&self, id: Id, now: Time) -> bool {
+    fn joined(&self, id: MemberId, now: Time) -> bool {
         self.joins.get(&id).is_some_and(|at| now.saturating_sub(*at) < self.replaced())
     }
 
@@ -64,10 +65,10 @@
     }
 
     /// Whether a machine may stop; not clear while others don't hold everything yet.
-    pub(super) fn retire(&mut self, now: Time, id: Id) -> Option<oneshot::Receiver<Answer>> {
+    pub(super) fn retire(&mut self, now: Time, id: MemberId) -> Option<oneshot::Receiver<Answer>> {
         match self.member.retire(now, id)? {
             Retirement::MayStop => self.verdict(Verdict::Known),
-            Retirement::Leaves(index) => Some(self.wait_for(self.member.term(), index)),
+            Retirement::RemovedAt(index) => Some(self.wait_for(self.member.term(), index)),
             Retirement::Wait => None,
         }
     }
@@ -79,7 +80,7 @@
             let core = &mut *shared.borrow_mut();
             core.leaving = true;
             let now = core.now();
-            core.member.hand_over(now);
+            core.member.transfer_leadership(now);
             core.settings.id()
         };
         Core::pump(shared);
--- a/crates/control-plane/src/core/orders.rs
+++ b/crates/control-plane/src/core/orders.rs
@@ -115,7 +115,9 @@
         let wait = {
             let core = &mut *shared.borrow_mut();
             // Guards against a new leader that acknowledges by what it has not folded yet. A read waits for that by itself.
-            if core.member.role() != Role::Leader || (ask != CoreRequest::Read && !core.member.current()) {
+            if core.member.role() != Role::Leader
+                || (ask != CoreRequest::Read && !core.member.is_caught_up_leader())
+            {
                 return Answer::NotTaken;
             }
             core.decide(ask)
@@ -151,7 +153,7 @@
                 if !same && self.changed.service_after(&service, seen) {
                     return Some(at_once(Answer::Outdated));
                 }
-                self.changed.propose_service(&service, self.member.positions().1 .1 + 1);
+                self.changed.propose_service(&service, self.member.commit_and_last().1 .1 + 1);
                 self.enter(&Command::RollOut { service, revision, period_ms })
             }
             CoreRequest::Evacuate { order, seen, zone, on } => self.evacuate(now, (order, seen), zone, on),
@@ -160,7 +162,7 @@
                 let token = self.next;
                 let (send, wait) = oneshot::channel();
                 self.reads.insert(token, send);
-                self.member.read(now, token).then_some(wait)
+                self.member.request_read(now, token).then_some(wait)
             }
             CoreRequest::Retire { id } => self.retire(now, id),
         }
@@ -327,7 +329,7 @@
             let core = &mut *shared.borrow_mut();
             let now = core.now();
             let leads = core.member.role() == Role::Leader;
-            if !leads && !core.member.fresh(now, ACKNOWLEDGES) {
+            if !leads && !core.member.has_recent_state(now, ACKNOWLEDGES) {
                 return Answer::NotTaken;
             }
             // Guards against acknowledging that one leaves of which this machine has not folded that it came.
--- a/crates/control-plane/src/core/peers.rs
+++ b/crates/control-plane/src/core/peers.rs
@@ -1,21 +1,21 @@
 //! Links to the other machines of the core: who is known, what waits for whom.
 
 use super::{Core, QUEUE};
-use milletwing_consensus::Id;
+use milletwing_consensus::MemberId;
 use milletwing_wire::{frame, Peer};
 use std::rc::Rc;
 use tokio::sync::{mpsc, Notify};
 
 impl Core {
     /// Another machine of the core was heard of.
-    pub fn meet(&mut self, id: Id) {
+    pub fn meet(&mut self, id: MemberId) {
         if id != self.settings.id() && !self.known.contains(&id) && self.known.len() < 64 {
             self.known.push(id);
         }
     }
 
     /// Opens the queue of a link; gives its other end, and the word that the machine has dialled this one.
-    pub fn link(&mut self, id: Id) -> (mpsc::Receiver<Rc<Vec<u8>>>, Rc<Notify>) {
+    pub fn link(&mut self, id: MemberId) -> (mpsc::Receiver<Rc<Vec<u8>>>, Rc<Notify>) {
         let (send, queue) = mpsc::channel(QUEUE);
         let up = Rc::new(Notify::new());
         self.links.insert(id, (send, Rc::clone(&up)));
@@ -24,7 +24,7 @@
 
     /// Another machine of the core has dialled this one. Gives the connection's number; what comes on an earlier one counts no
     /// more.
-    pub fn dialled_by(&mut self, id: Id) -> u64 {
+    pub fn dialled_by(&mut self, id: MemberId) -> u64 {
         self.meet(id);
         self.next += 1;
         self.connections.insert(id, self.next);
@@ -35,7 +35,7 @@
         self.next
     }
 
-    pub(super) fn post(&self, to: Id, peer: &Peer) {
+    pub(super) fn post(&self, to: MemberId, peer: &Peer) {
         if let Some((link, _)) = self.links.get(&to) {
             let _ = link.try_send(Rc::new(frame(peer))); // a full link drops: the agreement sends again
         }
--- a/crates/control-plane/src/core/subscriptions.rs
+++ b/crates/control-plane/src/core/subscriptions.rs
@@ -80,7 +80,8 @@
         if cores.is_empty() {
             cores.push(self.settings.id());
         }
-        let fresh = self.member.fresh(now, FRESH) && !self.member.lost() && !self.drift.odd(now);
+        let fresh =
+            self.member.has_recent_state(now, FRESH) && !self.member.has_lost_state() && !self.drift.odd(now);
         let edges = self.registry.ready(now).len() as u32;
         ToEdge::Pulse { fresh, index: self.view.index, cores, edges, loads }
     }
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -4,31 +4,31 @@
 
 use crate::core::{Core, Shared, Writes};
 use milletwing_config::{event, Settings};
-use milletwing_consensus::{Batch, Stored};
+use milletwing_consensus::{Batch, StoredState};
 use milletwing_replicated_state::View;
-use milletwing_storage::{Backoff, Fault, LogStore, Opened, Report, Writer};
+use milletwing_storage::{Backoff, LogStore, OpenedStore, RetryingWriter, StoreError, WriteOutcome};
 use std::path::PathBuf;
 use std::sync::mpsc::sync_channel;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
 /// Bytes of pages that the file's library keeps in memory.
 const CACHE: usize = 1 << 20;
-fn open_file(path: &std::path::Path) -> Result<Opened, Fault> {
+fn open_file(path: &std::path::Path) -> Result<OpenedStore, StoreError> {
     if let Some(folder) = path.parent() {
-        std::fs::create_dir_all(folder).map_err(Fault::Refused)?;
+        std::fs::create_dir_all(folder).map_err(StoreError::Unavailable)?;
     }
-    LogStore::file_or_anew(path, CACHE, sound)
+    LogStore::open_or_replace(path, CACHE, sound)
 }
 
 /// Whether what a file holds hangs together, down to the state in it.
-fn sound(stored: &Stored) -> Result<(), String> {
+fn sound(stored: &StoredState) -> Result<(), String> {
     let found = milletwing_consensus::inspect(stored)?;
     View::unpacked(&found.data).map(drop)
 }
 
 /// Opens the machine's file, for as long as its disk refuses; without a `stateDir` it lives in memory, and each start is that of
 /// a lost disk. Errors: the file is damaged and can't be replaced, or the thread can't be made.
-pub async fn open(settings: &Settings) -> Result<(Writes, UnboundedReceiver<Report>), String> {
+pub async fn open(settings: &Settings) -> Result<(Writes, UnboundedReceiver<WriteOutcome>), String> {
     let path = settings.own.state_dir.as_ref().map(|folder| PathBuf::from(folder).join("core.redb"));
     let (store, stored) = match &path {
         Some(path) => {
@@ -39,17 +39,17 @@
             }
             (opened.store, opened.stored)
         }
-        None => (LogStore::memory().map_err(|problem| problem.to_string())?, Stored::default()),
+        None => (LogStore::in_memory().map_err(|problem| problem.to_string())?, StoredState::default()),
     };
     let reopen = move || match &path {
-        Some(path) => LogStore::file(path, CACHE),
-        None => Err(Fault::Damaged("a state in memory can't be opened again".into())),
+        Some(path) => LogStore::open(path, CACHE),
+        None => Err(StoreError::Corrupt("a state in memory can't be opened again".into())),
     };
     // One batch is out at a time: the driver hands out the next when it hears of the last.
     let (send, batches) = sync_channel::<Batch>(1);
     let (back, written) = unbounded_channel();
     let work = move || {
-        let mut writer = Writer::new(store, reopen);
+        let mut writer = RetryingWriter::new(store, reopen);
         for batch in batches {
             let report = |report| {
                 let _ = back.send(report); // nobody listens any more: the process ends
@@ -72,7 +72,7 @@
 }
 
 /// Opens the file; a disk that refuses is asked again, told once.
-async fn opened(path: &std::path::Path) -> Result<Opened, String> {
+async fn opened(path: &std::path::Path) -> Result<OpenedStore, String> {
     let mut backoff = Backoff::default();
     let mut told = false;
     loop {
@@ -83,24 +83,24 @@
                 }
                 return Ok(opened);
             }
-            Err(Fault::Damaged(why)) => return Err(why),
-            Err(Fault::Refused(why)) if !told => {
+            Err(StoreError::Corrupt(why)) => return Err(why),
+            Err(StoreError::Unavailable(why)) if !told => {
                 told = true;
                 event!(DiskFailed, "{} can't be opened: {why}", path.display());
             }
-            Err(Fault::Refused(_)) => {}
+            Err(StoreError::Unavailable(_)) => {}
         }
-        tokio::time::sleep(backoff.pause()).await;
+        tokio::time::sleep(backoff.next_delay()).await;
     }
 }
 
 /// Hears of what was written.
-pub async fn listen(core: Shared, mut written: UnboundedReceiver<Report>) {
+pub async fn listen(core: Shared, mut written: UnboundedReceiver<WriteOutcome>) {
     while let Some(report) = written.recv().await {
         match report {
-            Report::Written => Core::saved(&core),
-            Report::Refused(why) => Core::refused(&core, &why),
-            Report::Damaged(why) => {
+            WriteOutcome::Written => Core::saved(&core),
+            WriteOutcome::Unavailable(why) => Core::refused(&core, &why),
+            WriteOutcome::Corrupt(why) => {
                 // Guards against promises that are on no disk: the next start takes the disk for a lost one.
                 event!(DiskUnusable, "{why}");
                 std::process::exit(3);
--- a/crates/control-plane/src/drift.rs
+++ b/crates/control-plane/src/drift.rs
@@ -1,7 +1,7 @@
 //! Whether edges route by what was agreed, as one machine of the core sees it: `milletwing-drift-detection` with this machine's view.
 
 use milletwing_config::{event, Configuration};
-use milletwing_consensus::Id;
+use milletwing_consensus::MemberId;
 use milletwing_drift_detection::{
     Checker, Digest, Finding, Names, Order, Part, Reflection, Repairer, Sample,
 };
@@ -44,7 +44,7 @@
     named: BTreeMap<u32, String>,
     doubt: bool,
     /// What other machines of the core last said of the same entry: whether it is what this one has.
-    others: BTreeMap<Id, (Time, bool)>,
+    others: BTreeMap<MemberId, (Time, bool)>,
 }
 
 impl Drift {
@@ -189,7 +189,7 @@
     }
 
     /// Another machine of the core has this digest as of an entry. Whether it is news that it differs from this one's.
-    pub fn view_digest(&mut self, now: Time, from: Id, index: u64, digest: &Digest) -> bool {
+    pub fn view_digest(&mut self, now: Time, from: MemberId, index: u64, digest: &Digest) -> bool {
         let Some(own) = self.checker.kept(index) else { return false };
         let same = own.differs(digest).is_empty();
         let before = self.others.insert(from, (now, same));
--- a/crates/control-plane/src/front.rs
+++ b/crates/control-plane/src/front.rs
@@ -337,7 +337,7 @@
     let core = core.borrow();
     let now = core.now();
     let name = |id: u32| std::net::Ipv4Addr::from_bits(id).to_string();
-    let (commit, last) = core.member.positions();
+    let (commit, last) = core.member.commit_and_last();
     let peers = core.member.peers().map(|(id, heard, matched, counts)| {
         json!({"address": name(id), "silentMs": now.saturating_sub(heard), "holds": matched, "counts": counts})
     });
@@ -347,9 +347,9 @@
     reply(
         200,
         json!({"self": name(core.settings.id()), "role": format!("{:?}", core.member.role()),
-            "leader": core.member.leader().map(name), "term": core.member.term(), "lost": core.member.lost(),
+            "leader": core.member.leader().map(name), "term": core.member.term(), "lost": core.member.has_lost_state(),
             "members": core.member.members().iter().map(|id| name(*id)).collect::<Vec<_>>(),
-            "furtherLosses": core.member.further_losses(now), "diskSuspended": core.member.suspended(),
+            "furtherLosses": core.member.further_losses(now), "diskSuspended": core.member.writes_suspended(),
             "commit": commit, "last": last.1, "folded": core.view.index, "revision": core.view.revision,
             "peers": peers.collect::<Vec<_>>(), "edges": edges.collect::<Vec<_>>()})
         .to_string(),
--- a/crates/control-plane/src/links.rs
+++ b/crates/control-plane/src/links.rs
@@ -1,7 +1,7 @@
 //! Connections to other machines of the core. Each dials every other and sends; what is accepted is only read.
 
 use crate::core::{Core, Shared};
-use milletwing_consensus::Id;
+use milletwing_consensus::MemberId;
 use milletwing_wire::{self as wire, frame, Greeting, Peer};
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -35,7 +35,7 @@
     }
 }
 
-async fn send(core: Shared, to: Id) {
+async fn send(core: Shared, to: MemberId) {
     let (own, port) = (core.borrow().settings.id(), core.borrow().settings.network.internal_ports.0);
     let (mut queue, up) = core.borrow_mut().link(to);
     loop {
--- a/crates/control-plane/src/metrics_page.rs
+++ b/crates/control-plane/src/metrics_page.rs
@@ -48,15 +48,19 @@
 fn consensus(page: &mut Page, core: &Core, now: u64) {
     let member = &core.member;
     let flag = |set: bool| f64::from(u8::from(set));
-    let (commit, last) = member.positions();
+    let (commit, last) = member.commit_and_last();
     page.gauge("term", "Term of the consensus", member.term() as f64);
     page.gauge("commit_index", "Last entry that is committed", commit as f64);
     page.gauge("last_index", "Last entry of the log", last.1 as f64);
     page.gauge("leads", "1 where this machine leads", flag(member.role() == Role::Leader));
     page.gauge("has_leader", "1 where this machine leads or knows a leader", flag(member.leader().is_some()));
     page.gauge("members", "Machines that vote", member.members().len() as f64);
-    page.gauge("disk_suspended", "1 while the disk takes no writes", flag(member.suspended()));
-    page.gauge("start_confirmed", "1 once the others were asked since the start", flag(member.confirmed()));
+    page.gauge("disk_suspended", "1 while the disk takes no writes", flag(member.writes_suspended()));
+    page.gauge(
+        "start_confirmed",
+        "1 once the others were asked since the start",
+        flag(member.start_confirmed()),
+    );
     if let Some(losses) = member.further_losses(now) {
         page.gauge("further_losses", "Further losses that are borne, at the leader", losses as f64);
     }
--- a/crates/control-plane/tests/bounds.rs
+++ b/crates/control-plane/tests/bounds.rs
@@ -20,10 +20,9 @@
 
 async fn leader(net: &Net) -> Shared {
     for _ in 0..1_000 {
-        let led = net
-            .cores()
-            .into_iter()
-            .find(|(_, core)| core.borrow().member.role() == Role::Leader && core.borrow().member.current());
+        let led = net.cores().into_iter().find(|(_, core)| {
+            core.borrow().member.role() == Role::Leader && core.borrow().member.is_caught_up_leader()
+        });
         if let Some((_, core)) = led {
             return core;
         }
--- a/crates/control-plane/tests/control.rs
+++ b/crates/control-plane/tests/control.rs
@@ -115,7 +115,7 @@
     Core::read(&core, ms(900)).await.expect("no read is answered after all has healed");
     for (at, other) in net.cores() {
         let other = other.borrow();
-        assert!(!other.member.lost(), "machine {at} does not count again");
+        assert!(!other.member.has_lost_state(), "machine {at} does not count again");
         assert!(other.view.index + 3 >= core.borrow().view.index, "machine {at} did not catch up");
         callers.same(&other.view);
     }
--- a/crates/control-plane/tests/control/machines.rs
+++ b/crates/control-plane/tests/control/machines.rs
@@ -73,7 +73,7 @@
 impl World {
     pub fn new(seed: u64) -> Net {
         let machine = |at| {
-            let store = Rc::new(LogStore::memory().unwrap());
+            let store = Rc::new(LogStore::in_memory().unwrap());
             let stuck = Rc::new(Cell::new(Instant::now()));
             (at, Machine { store, life: None, first: true, stuck, refuses: Rc::default() })
         };
@@ -170,14 +170,14 @@
             }
         }
         if wipe {
-            machine.store = Rc::new(LogStore::memory().unwrap());
+            machine.store = Rc::new(LogStore::in_memory().unwrap());
         }
     }
 
     /// Whether no disk is lost or on its way back.
     pub fn whole(&self) -> bool {
         self.cores().len() == MACHINES as usize
-            && self.cores().iter().all(|(_, core)| !core.borrow().member.lost())
+            && self.cores().iter().all(|(_, core)| !core.borrow().member.has_lost_state())
     }
 
     pub fn cut(&self, at: u32, both_ways: bool) {
--- a/crates/control-plane/tests/detection.rs
+++ b/crates/control-plane/tests/detection.rs
@@ -23,7 +23,7 @@
 
 fn leads(core: &Shared) -> bool {
     let core = core.borrow();
-    core.member.role() == Role::Leader && core.member.current()
+    core.member.role() == Role::Leader && core.member.is_caught_up_leader()
 }
 
 /// A core that has a leader: its number, and a follower's.
--- a/crates/control-plane/tests/power_loss.rs
+++ b/crates/control-plane/tests/power_loss.rs
@@ -86,7 +86,7 @@
     for _ in 0..1_000 {
         let led = net.cores().iter().any(|(_, core)| {
             let core = core.borrow();
-            core.member.role() == Role::Leader && core.member.current()
+            core.member.role() == Role::Leader && core.member.is_caught_up_leader()
         });
         if led {
             return;
--- a/crates/group-server/src/store.rs
+++ b/crates/group-server/src/store.rs
@@ -2,10 +2,10 @@
 //! value has a checksum; a store that is damaged, another member's or of a newer format is told, never repaired.
 
 use crate::settings::{Keep, Settings};
-use milletwing_group::log::{Batch, Stored};
+use milletwing_group::log::{Batch, StoredState};
 use milletwing_group::member::founding;
 use milletwing_group::MemberId;
-use milletwing_storage::{number, Fault, LogStore};
+use milletwing_storage::{decode_u64, LogStore, StoreError};
 use std::path::Path;
 
 /// The format of the store; a later one is refused.
@@ -26,8 +26,8 @@
 impl Store {
     fn base(keep: &Keep) -> Result<LogStore, String> {
         match keep {
-            Keep::Memory => LogStore::memory(),
-            Keep::File(path) => LogStore::file(path, CACHE),
+            Keep::Memory => LogStore::in_memory(),
+            Keep::File(path) => LogStore::open(path, CACHE),
         }
         .map_err(|problem| problem.to_string())
     }
@@ -51,8 +51,8 @@
         Store::fill(&base, settings, found).map_err(|why| format!("store {}: {why}", path.display()))
     }
 
-    fn fill(base: &LogStore, settings: &Settings, found: bool) -> Result<(), Fault> {
-        let stored = if found { founding(&settings.members) } else { Stored::default() };
+    fn fill(base: &LogStore, settings: &Settings, found: bool) -> Result<(), StoreError> {
+        let stored = if found { founding(&settings.members) } else { StoredState::default() };
         let (format, member) = (FORMAT.to_be_bytes(), settings.member.to_be_bytes());
         let id = rand::random::<u128>().to_be_bytes();
         let mut fields: Vec<(&str, &[u8])> = vec![
@@ -61,13 +61,13 @@
             ("member", &member),
             ("store", &id),
         ];
-        fields.extend(stored.hard.iter().map(|hard| ("hard", hard.as_slice())));
+        fields.extend(stored.hard_state.iter().map(|hard| ("hard", hard.as_slice())));
         fields.extend(stored.snapshot.iter().map(|snapshot| ("snapshot", snapshot.as_slice())));
-        base.put(&fields)
+        base.put_fields(&fields)
     }
 
     /// Opens the store of a member. Errors are for operators.
-    pub fn open(settings: &Settings) -> Result<(Store, Stored), String> {
+    pub fn open(settings: &Settings) -> Result<(Store, StoredState), String> {
         // The library may panic on a file that is no database any more.
         std::panic::catch_unwind(|| Store::read(settings)).unwrap_or_else(|_| match &settings.store {
             Keep::File(path) => Err(Store::damaged(path, settings.member, &"it can't be read")),
@@ -75,7 +75,7 @@
         })
     }
 
-    fn read(settings: &Settings) -> Result<(Store, Stored), String> {
+    fn read(settings: &Settings) -> Result<(Store, StoredState), String> {
         let member = settings.member;
         let base = match &settings.store {
             Keep::Memory => {
@@ -117,11 +117,14 @@
 
     /// What it holds, if it is this member's. The outer error is a fault of the store, the inner one of its use.
     #[allow(clippy::type_complexity)]
-    fn check(base: &LogStore, settings: &Settings) -> Result<Result<(u128, Stored), String>, Fault> {
-        let needed = |name: &str| -> Result<Vec<u8>, Fault> {
-            base.field(name)?.ok_or_else(|| Fault::Damaged(format!("{name} is missing")))
+    fn check(
+        base: &LogStore,
+        settings: &Settings,
+    ) -> Result<Result<(u128, StoredState), String>, StoreError> {
+        let needed = |name: &str| -> Result<Vec<u8>, StoreError> {
+            base.field(name)?.ok_or_else(|| StoreError::Corrupt(format!("{name} is missing")))
         };
-        let format = number(needed("format")?);
+        let format = decode_u64(needed("format")?);
         if format != FORMAT {
             return Ok(Err(format!("the store has format {format}; this version reads format {FORMAT}")));
         }
@@ -129,7 +132,7 @@
         if group != settings.group {
             return Ok(Err(format!("the store belongs to group {group}, not to {}", settings.group)));
         }
-        let member = number(needed("member")?);
+        let member = decode_u64(needed("member")?);
         if member != settings.member {
             return Ok(Err(format!("the store belongs to member {member}, not to {}", settings.member)));
         }
@@ -137,9 +140,9 @@
         Ok(Ok((id, base.load()?)))
     }
 
-    fn begin(base: &LogStore) -> Result<u64, Fault> {
-        let series = base.field("series")?.map_or(0, number) + 1;
-        base.put(&[("series", &series.to_be_bytes())])?;
+    fn begin(base: &LogStore) -> Result<u64, StoreError> {
+        let series = base.field("series")?.map_or(0, decode_u64) + 1;
+        base.put_fields(&[("series", &series.to_be_bytes())])?;
         Ok(series)
     }
 
--- a/crates/group-server/tests/store.rs
+++ b/crates/group-server/tests/store.rs
@@ -35,11 +35,13 @@
     assert!(error(&settings).contains("already open"), "{}", error(&settings));
     let entries = |list: &[(u64, u8)]| list.iter().map(|(index, byte)| (*index, vec![*byte])).collect();
     store.write(&Batch { entries: entries(&[(2, 2), (3, 3), (4, 4)]), ..Batch::default() }).unwrap();
-    store.write(&Batch { hard: Some(vec![9]), entries: entries(&[(3, 33)]), ..Batch::default() }).unwrap();
+    store
+        .write(&Batch { hard_state: Some(vec![9]), entries: entries(&[(3, 33)]), ..Batch::default() })
+        .unwrap();
     let (id, series) = (store.id, store.series);
     drop(store);
     let (store, stored) = Store::open(&settings).unwrap();
-    assert_eq!((stored.hard, stored.entries), (Some(vec![9]), vec![vec![2], vec![33]]));
+    assert_eq!((stored.hard_state, stored.entries), (Some(vec![9]), vec![vec![2], vec![33]]));
     assert_eq!((store.id, store.series), (id, series + 1));
     store.write(&Batch { snapshot: Some((vec![7], 3)), ..Batch::default() }).unwrap();
     drop(store);
@@ -81,7 +83,7 @@
     Store::make(&settings, true).unwrap();
     let (store, _) = Store::open(&settings).unwrap();
     let entries = (2..40u64).map(|index| (index, vec![index as u8; 200])).collect();
-    store.write(&Batch { entries, hard: Some(vec![5; 20]), ..Batch::default() }).unwrap();
+    store.write(&Batch { entries, hard_state: Some(vec![5; 20]), ..Batch::default() }).unwrap();
     drop(store);
     let (_, whole) = Store::open(&settings).unwrap();
     let bytes = std::fs::read(&path).unwrap();
@@ -95,7 +97,7 @@
         turned[at] ^= 0x55;
         match stored(&turned) {
             Ok(read) => {
-                assert_eq!((read.hard, read.entries), (whole.hard.clone(), whole.entries.clone()))
+                assert_eq!((read.hard_state, read.entries), (whole.hard_state.clone(), whole.entries.clone()))
             }
             Err(why) => {
                 told += 1;
--- a/crates/group/src/log.rs
+++ b/crates/group/src/log.rs
@@ -4,7 +4,7 @@
 use raft::prelude::{ConfState, Entry, HardState, Snapshot};
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 
-pub use milletwing_consensus::{Batch, Stored};
+pub use milletwing_consensus::{Batch, StoredState};
 
 /// The mirror.
 #[derive(Clone, Debug, Default)]
@@ -30,13 +30,15 @@
 
 impl Log {
     /// From what a store holds. An error where that doesn't hold together: entries with gaps, or no snapshot.
-    pub fn read(stored: &Stored) -> Result<Log, String> {
+    pub fn read(stored: &StoredState) -> Result<Log, String> {
         let snapshot: Snapshot = match &stored.snapshot {
             Some(bytes) => read(bytes, "snapshot")?,
             None => Snapshot::default(),
         };
-        let hard =
-            stored.hard.as_deref().map_or(Ok(HardState::default()), |bytes| read(bytes, "hard state"))?;
+        let hard = stored
+            .hard_state
+            .as_deref()
+            .map_or(Ok(HardState::default()), |bytes| read(bytes, "hard state"))?;
         let entries: Vec<Entry> =
             stored.entries.iter().map(|bytes| read(bytes, "entry")).collect::<Result<_, _>>()?;
         let meta = (snapshot.get_metadata().index, snapshot.get_metadata().term);
--- a/crates/group/src/member.rs
+++ b/crates/group/src/member.rs
@@ -9,7 +9,7 @@
 use crate::calls::{Calls, Stand, Step, Wanted};
 use crate::grant::{Held, PeerNote};
 use crate::lease::{Lease, Time};
-use crate::log::{bytes, Log, Stored};
+use crate::log::{bytes, Log, StoredState};
 use crate::record::{Command, MemberId, Record, Standing};
 use milletwing_decision::interface::{Build, Evidence, GroupNews};
 use raft::prelude::{ConfState, Snapshot};
@@ -155,7 +155,7 @@
 }
 
 /// What every founding member's store begins with: the same for all of them.
-pub fn founding(members: &BTreeMap<MemberId, String>) -> Stored {
+pub fn founding(members: &BTreeMap<MemberId, String>) -> StoredState {
     let mut record = Record::default();
     for (id, address) in members {
         record.join(*id, address, true);
@@ -167,12 +167,12 @@
     snapshot.set_data(encode(&record).into());
     let mut hard = raft::prelude::HardState::default();
     (hard.term, hard.commit) = (1, 1);
-    Stored { hard: Some(bytes(&hard)), entries: Vec::new(), snapshot: Some(bytes(&snapshot)) }
+    StoredState { hard_state: Some(bytes(&hard)), entries: Vec::new(), snapshot: Some(bytes(&snapshot)) }
 }
 
 impl Member {
     /// Goes on from what a store holds; an empty one waits to be added to a group. Errors are for operators.
-    pub fn new(set: Options, stored: &Stored, now: Time) -> Result<Member, String> {
+    pub fn new(set: Options, stored: &StoredState, now: Time) -> Result<Member, String> {
         let log = Log::read(stored)?;
         let data = log.snapshot.get_data();
         let record: Record = if data.is_empty() { Record::default() } else { decode(data)? };
--- a/crates/group/src/member/persistence.rs
+++ b/crates/group/src/member/persistence.rs
@@ -59,7 +59,7 @@
         }
         let snapshot = ready.snapshot();
         let batch = Batch {
-            hard: ready.hs().map(bytes),
+            hard_state: ready.hs().map(bytes),
             entries: ready.entries().iter().map(|entry| (entry.index, bytes(entry))).collect(),
             snapshot: (snapshot.get_metadata().index > 0)
                 .then(|| (bytes(snapshot), snapshot.get_metadata().index + 1)),
--- a/crates/group/tests/whole/cluster.rs
+++ b/crates/group/tests/whole/cluster.rs
@@ -4,7 +4,7 @@
 use milletwing_decision::interface::{Build, Evidence, GroupNews, Ms, Phase, StageNews, Verdict, Vote};
 use milletwing_group::calls::Wanted;
 use milletwing_group::grant::PeerNote;
-use milletwing_group::log::{Batch, Stored};
+use milletwing_group::log::{Batch, StoredState};
 use milletwing_group::member::{founding, Status};
 use milletwing_group::record::Standing;
 use milletwing_group::{Member, MemberId, Options, Output};
@@ -55,7 +55,7 @@
 
 pub struct Place {
     pub member: Option<Member>,
-    pub stored: Stored,
+    pub stored: StoredState,
     pub paused: bool,
     /// How its clock runs against the true time.
     pub rate: f64,
@@ -106,9 +106,9 @@
     }
 }
 
-pub fn keep(stored: &mut Stored, batch: &Batch, index: impl Fn(&[u8]) -> u64) {
-    if let Some(hard) = &batch.hard {
-        stored.hard = Some(hard.clone());
+pub fn keep(stored: &mut StoredState, batch: &Batch, index: impl Fn(&[u8]) -> u64) {
+    if let Some(hard) = &batch.hard_state {
+        stored.hard_state = Some(hard.clone());
     }
     if let Some((from, _)) = batch.entries.first() {
         stored.entries.retain(|bytes| index(bytes) < *from);
@@ -150,7 +150,7 @@
         }
         cluster
     }
-    pub fn place(&mut self, id: MemberId, stored: Stored) {
+    pub fn place(&mut self, id: MemberId, stored: StoredState) {
         let place = Place {
             member: None,
             stored,
--- a/crates/group/tests/whole/main.rs
+++ b/crates/group/tests/whole/main.rs
@@ -6,7 +6,7 @@
 use cluster::*;
 use milletwing_decision::interface::{Build, Phase, Vote};
 use milletwing_group::grant::PeerNote;
-use milletwing_group::log::Stored;
+use milletwing_group::log::StoredState;
 use protobuf::Message as _;
 use raft::eraftpb::MessageType;
 use raft::prelude::Message;
@@ -207,7 +207,7 @@
     c.verdict = Vote::None;
     let leader = c.leader();
     c.run(15_000); // long enough for the log to be cut
-    c.place(4, Stored::default());
+    c.place(4, StoredState::default());
     let now = c.clock(leader);
     assert!(c.member(leader).add(now, 1, "y").unwrap_err().contains("there already"));
     c.member(leader).add(now, 4, "place-4").unwrap();
@@ -248,7 +248,7 @@
     assert!(again.contains("used before"), "{again}");
     // A newcomer at the removed one's address is another member.
     c.member(leader).add(now, 9, &format!("place-{gone}")).unwrap();
-    c.place(9, Stored::default());
+    c.place(9, StoredState::default());
     c.until("the newcomer votes", |c| {
         c.places[&9].member.as_ref().unwrap().record().members.get(&9).is_some_and(|member| member.votes)
     });
@@ -283,7 +283,7 @@
         c.verdict = Vote::None;
         let leader = c.leader();
         let now = c.clock(leader);
-        c.place(9, Stored::default());
+        c.place(9, StoredState::default());
         c.member(leader).add(now, 9, "place-9").unwrap();
         c.run(2000);
         assert!(c.places[&9]
--- a/crates/group/tests/whole/parts.rs
+++ b/crates/group/tests/whole/parts.rs
@@ -5,7 +5,7 @@
 use milletwing_group::calls::{Calls, Stand, Step, Wanted};
 use milletwing_group::grant::{Held, PeerNote};
 use milletwing_group::lease::Lease;
-use milletwing_group::log::{Log, Stored};
+use milletwing_group::log::{Log, StoredState};
 use milletwing_group::member::founding;
 use milletwing_group::record::{CallId, Command, Effect, Ended, Intent, Record, Standing};
 
@@ -157,9 +157,9 @@
 #[test]
 fn a_store_that_does_not_hold_together_is_told() {
     let whole = founding(&[(1, "a".to_string())].into());
-    assert!(Log::read(&whole).is_ok() && Log::read(&Stored::default()).is_ok());
-    let torn = Stored { entries: vec![vec![0xff, 0x01]], ..whole.clone() };
+    assert!(Log::read(&whole).is_ok() && Log::read(&StoredState::default()).is_ok());
+    let torn = StoredState { entries: vec![vec![0xff, 0x01]], ..whole.clone() };
     assert!(Log::read(&torn).unwrap_err().contains("entry"));
-    let headless = Stored { snapshot: None, ..whole };
+    let headless = StoredState { snapshot: None, ..whole };
     assert!(Log::read(&headless).unwrap_err().contains("do not follow"));
 }
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -1,7 +1,7 @@
 //! Writes that go on over a disk that refuses for a while: each batch is tried again with growing pauses, on the file opened anew,
 //! until it is down. Nothing is reported as written before it is synced.
 
-use crate::{Fault, LogStore};
+use crate::{LogStore, StoreError};
 use milletwing_consensus::Batch;
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 
 /// What became of the batch that is out.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Report {
+pub enum WriteOutcome {
     /// It is on the disk.
     Written,
     /// It is not, and is tried again.
-    Refused(String),
+    Unavailable(String),
     /// The file can't be used any more.
-    Damaged(String),
+    Corrupt(String),
 }
 
 /// Pauses that double up to a bound.
@@ -25,7 +25,7 @@
 
 impl Backoff {
     /// The next pause.
-    pub fn pause(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let pause = RETRY.0.saturating_mul(1 << self.0.min(16)).min(RETRY.1);
         self.0 += 1;
         pause
@@ -33,20 +33,20 @@
 }
 
 /// Writes batches to a file that is opened anew after each refusal.
-pub struct Writer<Open> {
+pub struct RetryingWriter<Open> {
     store: Option<LogStore>,
     open: Open,
 }
 
-impl<Open: FnMut() -> Result<LogStore, Fault>> Writer<Open> {
+impl<Open: FnMut() -> Result<LogStore, StoreError>> RetryingWriter<Open> {
     /// `store` is open; `open` opens it again.
-    pub fn new(store: LogStore, open: Open) -> Writer<Open> {
-        Writer { store: Some(store), open }
+    pub fn new(store: LogStore, open: Open) -> RetryingWriter<Open> {
+        RetryingWriter { store: Some(store), open }
     }
 
     /// Tries once to write and sync a batch. The same batch may be written any number of times: it replaces what stands from its
     /// first index on. Errors: the disk refused, or the file is damaged.
-    pub fn attempt(&mut self, batch: &Batch) -> Result<(), Fault> {
+    pub fn try_write(&mut self, batch: &Batch) -> Result<(), StoreError> {
         let store = match self.store.take() {
             Some(store) => store,
             None => (self.open)()?,
@@ -60,23 +60,23 @@
     pub fn write(
         &mut self,
         batch: &Batch,
-        mut report: impl FnMut(Report),
+        mut report: impl FnMut(WriteOutcome),
         mut pause: impl FnMut(Duration) -> bool,
     ) -> bool {
         let mut backoff = Backoff::default();
         loop {
-            match self.attempt(batch) {
+            match self.try_write(batch) {
                 Ok(()) => {
-                    report(Report::Written);
+                    report(WriteOutcome::Written);
                     return true;
                 }
-                Err(Fault::Damaged(why)) => {
-                    report(Report::Damaged(why));
+                Err(StoreError::Corrupt(why)) => {
+                    report(WriteOutcome::Corrupt(why));
                     return false;
                 }
-                Err(Fault::Refused(why)) => report(Report::Refused(why.to_string())),
+                Err(StoreError::Unavailable(why)) => report(WriteOutcome::Unavailable(why.to_string())),
             }
-            if !pause(backoff.pause()) {
+            if !pause(backoff.next_delay()) {
                 return false;
             }
         }
--- a/crates/storage/tests/bound.rs
+++ b/crates/storage/tests/bound.rs
@@ -7,7 +7,7 @@
 fn ten_thousand_changes_fit_in_the_stated_figure() {
     let path = std::env::temp_dir().join(format!("store-bound-{}.redb", std::process::id()));
     let _ = std::fs::remove_file(&path);
-    let store = LogStore::file(&path, 1 << 20).unwrap();
+    let store = LogStore::open(&path, 1 << 20).unwrap();
     let entry = |index: u64| (index, vec![index as u8; 300]);
     for from in (1..=10_000).step_by(20) {
         let mut batch = Batch { entries: (from..from + 20).map(entry).collect(), ..Batch::default() };
@@ -19,7 +19,7 @@
     }
     let size = std::fs::metadata(&path).unwrap().len();
     drop(store);
-    let stored = LogStore::file(&path, 1 << 20).unwrap().load().unwrap();
+    let stored = LogStore::open(&path, 1 << 20).unwrap().load().unwrap();
     std::fs::remove_file(&path).unwrap();
     assert_eq!((stored.entries.len(), stored.snapshot.map(|it| it.len())), (250, Some(60_000)));
     assert!(size <= 8 << 20, "{size} bytes on disk");
--- a/crates/storage/tests/refusals.rs
+++ b/crates/storage/tests/refusals.rs
@@ -1,8 +1,8 @@
 //! A disk that refuses at any call, in the middle of a batch: the batch is tried again until it is down, and whatever a start
 //! finds meanwhile is what stood before it or all of it.
 
-use milletwing_consensus::{Batch, Stored};
-use milletwing_storage::{Fault, LogStore, Report, Writer};
+use milletwing_consensus::{Batch, StoredState};
+use milletwing_storage::{LogStore, RetryingWriter, StoreError, WriteOutcome};
 use redb::backends::InMemoryBackend;
 use redb::StorageBackend;
 use std::io::{Error, ErrorKind};
@@ -35,12 +35,12 @@
         taken.map(drop).map_err(|_| Error::from(ErrorKind::StorageFull))
     }
 
-    fn open(&self) -> Result<LogStore, Fault> {
+    fn open(&self) -> Result<LogStore, StoreError> {
         LogStore::with_backend(self.clone())
     }
 
     /// What a start finds now, on a disk that takes writes again.
-    fn found(&self) -> Stored {
+    fn found(&self) -> StoredState {
         let room = self.room.swap(FREE, Ordering::SeqCst);
         let stored = self.open().unwrap().load().unwrap();
         self.allow(room);
@@ -72,12 +72,12 @@
 fn batch(number: u8) -> Batch {
     let from = 1 + 3 * u64::from(number);
     let entries = (from..from + 3).map(|index| (index, vec![number; 50_000])).collect();
-    Batch { hard: Some(vec![number]), entries, snapshot: None }
+    Batch { hard_state: Some(vec![number]), entries, snapshot: None }
 }
 
-fn holds(stored: &Stored, upto: u8) -> bool {
+fn holds(stored: &StoredState, upto: u8) -> bool {
     let entries: Vec<Vec<u8>> = (0..=upto).flat_map(|it| vec![vec![it; 50_000]; 3]).collect();
-    stored.hard == Some(vec![upto]) && stored.entries == entries
+    stored.hard_state == Some(vec![upto]) && stored.entries == entries
 }
 
 #[test]
@@ -87,8 +87,8 @@
         let disk = Disk::new();
         let store = disk.open().unwrap();
         let opening = disk.clone();
-        let mut writer = Writer::new(store, move || opening.open());
-        writer.attempt(&batch(0)).unwrap();
+        let mut writer = RetryingWriter::new(store, move || opening.open());
+        writer.try_write(&batch(0)).unwrap();
         disk.allow(calls);
         let mut reports = Vec::new();
         let mut pauses = Vec::new();
@@ -107,8 +107,8 @@
             },
         );
         assert!(done);
-        assert_eq!(reports.pop(), Some(Report::Written));
-        assert!(reports.iter().all(|report| matches!(report, Report::Refused(_))), "{reports:?}");
+        assert_eq!(reports.pop(), Some(WriteOutcome::Written));
+        assert!(reports.iter().all(|report| matches!(report, WriteOutcome::Unavailable(_))), "{reports:?}");
         assert!(pauses.is_sorted() && pauses.iter().all(|pause| *pause <= Duration::from_secs(1)));
         refused_batches += usize::from(!reports.is_empty());
         drop(writer);
@@ -124,19 +124,25 @@
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("core.redb");
     std::fs::write(&path, vec![7; 10_000]).unwrap();
-    let opened = LogStore::file_or_anew(&path, 1 << 20, |_| Ok(())).unwrap();
-    assert!(opened.damage.is_some() && opened.stored.hard.is_none());
+    let opened = LogStore::open_or_replace(&path, 1 << 20, |_| Ok(())).unwrap();
+    assert!(opened.damage.is_some() && opened.stored.hard_state.is_none());
     opened.store.write(&batch(3)).unwrap();
     drop(opened);
     // What it holds whole, and can't be used, is damaged as well.
-    let useless = |stored: &Stored| if stored.hard.is_some() { Err("useless".into()) } else { Ok(()) };
-    let opened = LogStore::file_or_anew(&path, 1 << 20, useless).unwrap();
-    assert!(opened.damage.is_some_and(|damage| damage.contains("useless")) && opened.stored.hard.is_none());
+    let useless =
+        |stored: &StoredState| if stored.hard_state.is_some() { Err("useless".into()) } else { Ok(()) };
+    let opened = LogStore::open_or_replace(&path, 1 << 20, useless).unwrap();
+    assert!(
+        opened.damage.is_some_and(|damage| damage.contains("useless")) && opened.stored.hard_state.is_none()
+    );
     drop(opened.store);
     // A folder in the file's place can be opened by nobody: an error of the disk, and nothing is moved.
     let taken = folder.join("taken.redb");
     std::fs::create_dir(&taken).unwrap();
-    assert!(matches!(LogStore::file_or_anew(&taken, 1 << 20, |_| Ok(())), Err(Fault::Refused(_))));
+    assert!(matches!(
+        LogStore::open_or_replace(&taken, 1 << 20, |_| Ok(())),
+        Err(StoreError::Unavailable(_))
+    ));
     assert!(taken.is_dir());
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/crates/system/src/disk.rs
+++ b/crates/system/src/disk.rs
@@ -17,14 +17,14 @@
     if !Path::new(path).is_file() {
         return Err(wrong(&"there is no such file"));
     }
-    let store = LogStore::file(Path::new(path), CACHE).map_err(|problem| wrong(&problem))?;
+    let store = LogStore::open(Path::new(path), CACHE).map_err(|problem| wrong(&problem))?;
     let stored = store.load().map_err(|problem| wrong(&problem))?;
     let found = inspect(&stored).map_err(|problem| wrong(&problem))?;
     let mut view = View::unpacked(&found.data).map_err(|problem| wrong(&problem))?;
     let mut entries = Vec::new();
     for entry in &found.entries {
         let said = match &entry.payload {
-            Payload::Blank => "a leader begins".into(),
+            Payload::Noop => "a leader begins".into(),
             Payload::Members(members) => format!("members {}", names(members)),
             Payload::Data(bytes) => {
                 let command = Command::read(bytes).map_err(|problem| wrong(&problem))?;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -2,7 +2,7 @@
 //! connection begins with a [`Greeting`]; a core machine then sends [`Peer`]s one way, an edge [`Up`]s and gets [`Down`]s.
 
 use milletwing_config::{event, Settings};
-use milletwing_consensus::{Id, Message};
+use milletwing_consensus::{MemberId, Message};
 use milletwing_drift_detection::{Digest, Finding, Names, Reflection, Sample, Step};
 use milletwing_metrics::Endpoint;
 use milletwing_outlier_detection::Observed;
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Greeting {
     /// A machine of the core.
-    Core(Id),
+    Core(MemberId),
     /// An edge, and the last entry that it has folded.
     Edge(EdgeStatus, u64),
 }
@@ -82,7 +82,7 @@
     /// How far is the log, for certain?
     Read,
     /// This machine is to stop: may it?
-    Retire { id: Id },
+    Retire { id: MemberId },
 }
 
 /// How it ended.
@@ -149,11 +149,11 @@
     Entries(Vec<(u64, Vec<u8>)>),
     /// The core lives. `fresh`: it hears its leader; `cores`: all machines of the core; `edges`: how many take traffic;
     /// `loads`: of hosts, as far as they are new.
-    Pulse { fresh: bool, index: u64, cores: Vec<Id>, edges: u32, loads: Vec<(u32, u16)> },
+    Pulse { fresh: bool, index: u64, cores: Vec<MemberId>, edges: u32, loads: Vec<(u32, u16)> },
 }
 
 /// The internal address of a core machine.
-pub fn place(id: Id, port: u16) -> SocketAddrV4 {
+pub fn place(id: MemberId, port: u16) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::from_bits(id), port)
 }
 
@@ -183,7 +183,7 @@
 }
 
 /// Serves a process's metrics on the machine's own address. Where the port can't be had, the process goes on without them.
-pub async fn serve_metrics(own: Id, endpoint: Endpoint, text: impl Fn() -> String + 'static) {
+pub async fn serve_metrics(own: MemberId, endpoint: Endpoint, text: impl Fn() -> String + 'static) {
     match TcpListener::bind(place(own, endpoint.port)).await {
         Ok(listener) => milletwing_metrics::serve(listener, endpoint.path, text).await,
         Err(problem) => event!(MetricsUnavailable, "{endpoint}: {problem}"),
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -3,7 +3,9 @@
 //! reader; a failure prints its input.
 
 use milletwing_config::{Configuration, Settings};
-use milletwing_consensus::{inspect, Entry, Member, Memory, Message, Options, Payload, Role, Stored};
+use milletwing_consensus::{
+    inspect, Entry, Member, Message, Options, Payload, Role, StateIntegrity, StoredState,
+};
 use milletwing_drift_detection::{Names, Step};
 use milletwing_outlier_detection::Observed;
 use milletwing_replicated_state::{Beat, Command, EdgeStatus, Node, Phase, View};
@@ -121,30 +123,36 @@
         vec![entry(2), entry(3), Entry { term: 2, index: 4, payload: Payload::Members(vec![1, 2, 3]) }];
     let data = view().packed();
     vec![
-        Message::RequestVote { term: 3, early: true, last: (2, 9) },
-        Message::RequestVote { term: 3, early: false, last: (2, 9) },
-        Message::Vote { term: 1, early: false, granted: true },
-        Message::Append { term: 2, before: (1, 1), entries, commit: 3, round: 4 },
-        Message::Appended { term: 1, fits: true, matched: 3, round: 4, counts: true },
-        Message::Install {
+        Message::RequestVote { term: 3, pre_vote: true, last: (2, 9) },
+        Message::RequestVote { term: 3, pre_vote: false, last: (2, 9) },
+        Message::VoteResponse { term: 1, pre_vote: false, granted: true },
+        Message::AppendEntries { term: 2, previous: (1, 1), entries, commit: 3, round: 4 },
+        Message::AppendResponse { term: 1, accepted: true, match_index: 3, round: 4, quorum_eligible: true },
+        Message::InstallSnapshot {
             term: 2,
             last: (2, 20),
             members: vec![1, 2, 3],
             offset: 0,
             total: data.len() as u64,
-            sum: crc32fast::hash(&data),
-            part: data,
+            checksum: crc32fast::hash(&data),
+            chunk: data,
+            round: 5,
+        },
+        Message::SnapshotChunkResponse {
+            term: 1,
+            last: (2, 20),
+            received: 10,
             round: 5,
+            quorum_eligible: true,
         },
-        Message::Installed { term: 1, last: (2, 20), have: 10, round: 5, counts: true },
         Message::TransferLeadership { term: 1 },
-        Message::QueryState { call: 5 },
+        Message::QueryState { query_id: 5 },
         Message::StateReport {
-            call: 5,
+            query_id: 5,
             term: 2,
             last: (2, 9),
             members: vec![1, 2, 3],
-            memory: Memory::Whole,
+            integrity: StateIntegrity::Complete,
         },
     ]
 }
@@ -195,12 +203,12 @@
 fn options(id: u32) -> Options {
     Options {
         id,
-        election: 600,
-        heartbeat: 100,
-        losses: 1,
-        snapshot_every: 1_000,
-        snapshot_bytes: 8 << 20,
-        part: 128 << 10,
+        election_timeout: 600,
+        heartbeat_interval: 100,
+        tolerated_losses: 1,
+        snapshot_after_entries: 1_000,
+        snapshot_after_bytes: 8 << 20,
+        snapshot_chunk_bytes: 128 << 10,
         seed: 1,
     }
 }
@@ -214,23 +222,23 @@
         for leads in [false, true] {
             let founders = [1, 2, 3];
             let mut member =
-                Member::new(options(1), &Stored::default(), Some(&founders), &founders, 0).unwrap();
+                Member::new(options(1), &StoredState::default(), Some(&founders), &founders, 0).unwrap();
             let mut now = 0;
             while leads && member.role() != Role::Leader {
                 now += 50;
                 member.tick(now);
-                for early in [true, false] {
-                    let term = member.term() + u64::from(early);
-                    member.step(now, 2, Message::Vote { term, early, granted: true });
+                for pre_vote in [true, false] {
+                    let term = member.term() + u64::from(pre_vote);
+                    member.step(now, 2, Message::VoteResponse { term, pre_vote, granted: true });
                 }
             }
             for from in [2, 3, 9] {
                 member.step(now, from, message.clone());
-                while let Some(work) = member.work() {
-                    member.saved(now, work.last);
+                while let Some(work) = member.take_ready() {
+                    member.on_persisted(now, work.last);
                 }
-                member.committed();
-                member.restored();
+                member.take_committed();
+                member.take_restored_state();
                 now += 700;
                 member.tick(now);
             }
@@ -250,12 +258,15 @@
     ];
     fuzz("disk", &parts, |bytes| {
         for part in 0..3 {
-            let mut stored =
-                Stored { hard: None, entries: vec![parts[1].clone()], snapshot: Some(parts[0].clone()) };
+            let mut stored = StoredState {
+                hard_state: None,
+                entries: vec![parts[1].clone()],
+                snapshot: Some(parts[0].clone()),
+            };
             match part {
                 0 => stored.snapshot = Some(bytes.to_vec()),
                 1 => stored.entries.push(bytes.to_vec()),
-                _ => stored.hard = Some(bytes.to_vec()),
+                _ => stored.hard_state = Some(bytes.to_vec()),
             }
             let _ = inspect(&stored);
             let _ = Member::new(options(1), &stored, None, &[1, 2, 3], 0);
