--- a/crates/marshal/tests/sending.rs
+++ b/crates/marshal/tests/sending.rs
@@ -2,7 +2,7 @@
 //! is never written.
 
 use crossbeam_channel::{bounded, Receiver};
-use milletwing_decision::interface::{Ms, NodeId, RequestId, Verdict};
+use milletwing_decision::interface::{Ms, NodeId, Outcome, RequestId};
 use milletwing_marshal::book::{Book, Open};
 use milletwing_marshal::buffers::Buffers;
 use milletwing_marshal::client::Client;
@@ -10,7 +10,7 @@
 use milletwing_marshal::limits::{Grant, Limits};
 use milletwing_marshal::send::{Attempt, Node, Senders, Wear};
 use milletwing_marshal::stage::{Note, Out};
-use milletwing_profile::Transport;
+use milletwing_profile::TransportSettings;
 use milletwing_toy::node::{Node as Toy, Reply};
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -27,7 +27,11 @@
 }
 
 fn limits() -> Limits {
-    let transport = Transport { connect_timeout: Ms(250.0), keepalive: Ms(30_000.0), grace: Ms(20.0) };
+    let transport = TransportSettings {
+        connect_timeout: Ms(250.0),
+        idle_timeout: Ms(30_000.0),
+        late_answer_grace: Ms(20.0),
+    };
     Limits::new(Grant { memory_mb: 192, sockets: 1024 }, &transport)
 }
 
@@ -52,14 +56,14 @@
         let open = Open::new(RequestId("a".into()), self.served.clone(), message, at, now + wait);
         Arc::new(Attempt::new(Arc::new(open), 0, node.clone(), now, now + wait))
     }
-    fn end(&self) -> Verdict {
+    fn end(&self) -> Outcome {
         match self.notes.recv_timeout(Duration::from_secs(20)) {
             Ok(Note::Ended { verdict, .. }) => verdict,
             _ => panic!("no end"),
         }
     }
     /// Hands it over and tells how it ended, once.
-    fn run(&self, attempt: &Arc<Attempt>) -> Verdict {
+    fn run(&self, attempt: &Arc<Attempt>) -> Outcome {
         assert!(self.senders.hand(attempt.clone()).is_ok());
         let verdict = self.end();
         assert!(self.notes.is_empty());
@@ -80,14 +84,14 @@
 #[test]
 fn each_end_follows_the_table() {
     let line = line();
-    let cases: [(fn() -> Reply, Verdict); 7] = [
-        (|| Reply::Answer(200, b"x".to_vec()), Verdict::Ok),
-        (|| Reply::Answer(500, Vec::new()), Verdict::Error),
-        (|| Reply::Answer(503, Vec::new()), Verdict::Error),
-        (|| Reply::TurnAway, Verdict::Full),
-        (|| Reply::RawEnd(Vec::new()), Verdict::Reset),
-        (|| Reply::RawEnd(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec()), Verdict::Reset),
-        (|| Reply::Raw(b"nonsense\r\n\r\n".to_vec()), Verdict::Reset),
+    let cases: [(fn() -> Reply, Outcome); 7] = [
+        (|| Reply::Answer(200, b"x".to_vec()), Outcome::Ok),
+        (|| Reply::Answer(500, Vec::new()), Outcome::Error),
+        (|| Reply::Answer(503, Vec::new()), Outcome::Error),
+        (|| Reply::TurnAway, Outcome::Rejected),
+        (|| Reply::RawEnd(Vec::new()), Outcome::Reset),
+        (|| Reply::RawEnd(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec()), Outcome::Reset),
+        (|| Reply::Raw(b"nonsense\r\n\r\n".to_vec()), Outcome::Reset),
     ];
     for (reply, verdict) in cases {
         let (toy, node) = toy(reply);
@@ -95,7 +99,7 @@
         assert_eq!(toy.asked().len(), 1);
     }
     let nowhere = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    assert_eq!(line.run(&line.attempt(&node(nowhere), 20_000)), Verdict::ConnectFailed);
+    assert_eq!(line.run(&line.attempt(&node(nowhere), 20_000)), Outcome::ConnectFailed);
 }
 
 #[test]
@@ -104,13 +108,13 @@
     let (toy, node) = toy(|| Reply::Answer(200, Vec::new()));
     let attempt = line.attempt(&node, 20_000);
     attempt.cancel();
-    assert_eq!(line.run(&attempt), Verdict::Cancelled);
+    assert_eq!(line.run(&attempt), Outcome::Cancelled);
     let attempt = line.attempt(&node, 20_000);
     attempt.time_out();
-    assert_eq!(line.run(&attempt), Verdict::Moot);
-    assert_eq!(line.run(&line.attempt(&node, 0)), Verdict::Moot);
+    assert_eq!(line.run(&attempt), Outcome::NotSent);
+    assert_eq!(line.run(&line.attempt(&node, 0)), Outcome::NotSent);
     node.leave();
-    assert_eq!(line.run(&line.attempt(&node, 20_000)), Verdict::Moot);
+    assert_eq!(line.run(&line.attempt(&node, 20_000)), Outcome::NotSent);
     assert!(toy.asked().is_empty());
     assert_eq!(toy.connections().0, 0);
 }
@@ -120,7 +124,7 @@
     let line = line();
     let (toy, node) = toy(|| Reply::Silent);
     for (give_up, verdict) in
-        [(Attempt::cancel as fn(&Attempt), Verdict::Cancelled), (Attempt::time_out, Verdict::Timeout)]
+        [(Attempt::cancel as fn(&Attempt), Outcome::Cancelled), (Attempt::time_out, Outcome::Timeout)]
     {
         let attempt = line.attempt(&node, 20_000);
         // Counted before it is handed over: the node may be asked at once, and answers nothing.
@@ -145,7 +149,7 @@
     let attempt = line.attempt(&node, 20_000);
     assert!(attempt.open.claim());
     assert!(!attempt.open.claim());
-    assert_eq!(line.run(&attempt), Verdict::Ok);
+    assert_eq!(line.run(&attempt), Outcome::Ok);
     assert_eq!(node.idle(), 1);
     // Nothing came to the client.
     line.client.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
@@ -174,7 +178,7 @@
         all
     });
     match line.notes.recv_timeout(Duration::from_secs(20)) {
-        Ok(Note::Ended { verdict: Verdict::Ok, at, .. }) => assert!(at < reads_from),
+        Ok(Note::Ended { verdict: Outcome::Ok, at, .. }) => assert!(at < reads_from),
         _ => panic!("no end"),
     }
     assert!(reader.join().unwrap() >= 8 << 20);
@@ -186,7 +190,7 @@
     attempt.time_out();
     drop(client);
     let end = notes.recv_timeout(Duration::from_secs(20));
-    assert!(matches!(end, Ok(Note::Ended { verdict: Verdict::Cancelled | Verdict::Timeout, .. })));
+    assert!(matches!(end, Ok(Note::Ended { verdict: Outcome::Cancelled | Outcome::Timeout, .. })));
 }
 
 /// Guards against connections that the other side lets go of sooner than it says: those that stood for long break,
--- a/crates/processor-server/src/front.rs
+++ b/crates/processor-server/src/front.rs
@@ -6,8 +6,8 @@
 use crate::wire::{self, from_proxy, to_proxy, verdict, FromProxy, How, ToProxy};
 use crossbeam_channel::{bounded, Receiver, RecvTimeoutError, Sender};
 use milletwing_decision::interface::{
-    ClassId, Effect, FleetForm, Key, Ms, NodeEntry, NodeId, NodeState, RequestId, Settings as Decisions,
-    TenantId, Verdict as End,
+    ClassId, FleetUpdateKind, Key, Ms, NodeEntry, NodeId, NodeState, Outcome as End, RequestId, RetrySafety,
+    Settings as Decisions, TenantId,
 };
 use milletwing_marshal::book::{count, Open};
 use milletwing_marshal::clock::span;
@@ -15,7 +15,7 @@
 use milletwing_marshal::stage::{Admitted, Answering, Carrier, Note, Order, Out, Word};
 use milletwing_processor::table::{Class, Decision};
 use milletwing_processor::{Ask, Earlier, Outcome, Output, Refusal, Table, Verdict};
-use milletwing_profile::position;
+use milletwing_profile::index_of;
 use std::collections::{BTreeMap, HashMap};
 use std::io;
 use std::net::SocketAddr;
@@ -72,9 +72,9 @@
         self.0.try_send(Told::Begin(order)).ok()?;
         Some(Arc::new(Carried { id, copy, words }))
     }
-    fn fleet(&mut self, form: FleetForm, entries: &[(NodeEntry, SocketAddr)]) {
+    fn fleet(&mut self, form: FleetUpdateKind, entries: &[(NodeEntry, SocketAddr)]) {
         let mut nodes = self.1.write().unwrap_or_else(PoisonError::into_inner);
-        if matches!(form, FleetForm::Replace | FleetForm::Restored) {
+        if matches!(form, FleetUpdateKind::Replace | FleetUpdateKind::Restored) {
             nodes.clear();
         }
         for (entry, at) in entries {
@@ -115,9 +115,9 @@
         service::start(&settings, words.clone())
             .map_err(|why| wrong(format!("listen {}: {why}", settings.listen)))?;
         let class = |class: &milletwing_decision::interface::Class| Class {
-            effect: class.effect,
-            scope: class.scope,
-            memory: class.memory,
+            effect: class.retry_safety,
+            scope: class.dedup_scope,
+            memory: class.dedup_window,
         };
         let classes = around.settings.classes.iter().map(class).collect();
         let table = Table::new(classes, Ms(settings.begin_within_ms), GRACE, settings.requests);
@@ -183,7 +183,7 @@
                 let until = self.around.clock.ms(order.until);
                 if !self.table.decided(now, &order.open.id, Decision::Send(order.node, until), out) {
                     let (id, copy, at) = (order.open.id.clone(), order.copy, Instant::now());
-                    let _ = self.around.notes.send(Note::Ended { id, copy, verdict: End::Moot, at });
+                    let _ = self.around.notes.send(Note::Ended { id, copy, verdict: End::NotSent, at });
                     // it ends only with us
                 }
             }
@@ -212,7 +212,7 @@
                     How::Unset => None,
                     How::Ok => Some(Outcome::Ended(End::Ok, took)),
                     How::Error => Some(Outcome::Ended(End::Error, took)),
-                    How::Full => Some(Outcome::Ended(End::Full, took)),
+                    How::Full => Some(Outcome::Ended(End::Rejected, took)),
                     How::Timeout => Some(Outcome::Ended(End::Timeout, took)),
                     How::Reset => Some(Outcome::Ended(End::Reset, took)),
                     How::Never => Some(Outcome::Never),
@@ -244,11 +244,11 @@
         if ask.request.is_empty() || ask.request.len() > 128 {
             return Err("an id of 1 to 128 bytes is wanted");
         }
-        let class = position(&self.around.names.classes, &ask.class).ok_or("no such class")? as usize;
+        let class = index_of(&self.around.names.classes, &ask.class).ok_or("no such class")? as usize;
         let tenant = match ask.tenant.as_str() {
             "" => None,
             name => {
-                Some(TenantId(position(&self.around.names.tenants, name).ok_or("no such tenant")? as usize))
+                Some(TenantId(index_of(&self.around.names.tenants, name).ok_or("no such tenant")? as usize))
             }
         };
         let key = (!ask.key.is_empty()).then(|| Key(Arc::from(ask.key.as_str())));
@@ -308,7 +308,7 @@
             }
             Output::Taken(id, class, left) => {
                 let (tenant, key) = self.asks.remove(&id).unwrap_or_default();
-                let once = self.around.settings.classes[class].effect == Effect::AtMostOnce;
+                let once = self.around.settings.classes[class].retry_safety == RetrySafety::AtMostOnce;
                 let open = Arc::new(Open::asked(id.clone(), once, Instant::now() + span(left)));
                 count(&self.around.book.taken);
                 self.open.insert(id, open.clone());
--- a/crates/processor-server/src/told.rs
+++ b/crates/processor-server/src/told.rs
@@ -1,7 +1,7 @@
 //! What streams and ports tell the thread that owns the table.
 
 use crate::wire::{FromProxy, ToProxy};
-use milletwing_decision::interface::{RequestId, Verdict as End};
+use milletwing_decision::interface::{Outcome as End, RequestId};
 use milletwing_marshal::book::Open;
 use milletwing_marshal::stage::{Order, Word};
 use std::sync::Arc;
--- a/crates/processor/src/table.rs
+++ b/crates/processor/src/table.rs
@@ -2,7 +2,7 @@
 //! first ask is a request for the module, its report the end of an attempt, and what the module does next is the verdict
 //! for the next try, whether that was asked yet or not.
 
-use milletwing_decision::interface::{Effect, Ms, NodeId, RequestId, Scope, Verdict as End};
+use milletwing_decision::interface::{DedupScope, Ms, NodeId, Outcome as End, RequestId, RetrySafety};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A stream of a caller's, as the host numbers it.
@@ -12,9 +12,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
     /// How often a request may take effect.
-    pub effect: Effect,
+    pub effect: RetrySafety,
     /// Who drops repeats, for deduplicated ones.
-    pub scope: Scope,
+    pub scope: DedupScope,
     /// How long repeats are dropped, from the first send.
     pub memory: Ms,
 }
@@ -229,11 +229,13 @@
             .map(|earlier| earlier.age)
             .fold(None, |oldest: Option<Ms>, age| Some(oldest.map_or(age, |oldest| oldest.max(age))));
         match (class.effect, oldest) {
-            (Effect::Idempotent, _) => true,
+            (RetrySafety::Idempotent, _) => true,
             (_, None) => told,
             // Nodes that drop its repeats must all be in reach: the module does not know where it ran.
-            (Effect::Deduplicated, Some(age)) => told && class.scope == Scope::All && age < class.memory,
-            (Effect::AtMostOnce, Some(_)) => false,
+            (RetrySafety::Deduplicated, Some(age)) => {
+                told && class.scope == DedupScope::All && age < class.memory
+            }
+            (RetrySafety::AtMostOnce, Some(_)) => false,
         }
     }
 
@@ -311,7 +313,7 @@
         let Verdict::Send { node, .. } = &last.verdict else { return };
         let took = now - last.at;
         let (end, time) = match outcome {
-            Outcome::Never => (End::Moot, Ms(0.0)),
+            Outcome::Never => (End::NotSent, Ms(0.0)),
             // Longer than it can have taken is a lie, or another clock's: ours counts.
             Outcome::Ended(end, time) => (end, time.max(Ms(0.0)).min(took)),
         };
--- a/crates/processor/tests/table.rs
+++ b/crates/processor/tests/table.rs
@@ -2,8 +2,8 @@
 //! lose, lie by silence and come back, with the real decision module behind the table.
 
 use milletwing_decision::interface::{
-    Action, Build, Class as Kind, ClassId, Effect, Event, FleetForm, Ms, NodeEntry, NodeId, RequestId, Scope,
-    Settings, Verdict as End,
+    Action, Build, Class as Kind, ClassId, DedupScope, Event, FleetUpdateKind, Ms, NodeEntry, NodeId,
+    Outcome as End, RequestId, RetrySafety, Settings,
 };
 use milletwing_decision::Marshal;
 use milletwing_processor::table::Decision;
@@ -13,10 +13,11 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-const EFFECTS: [Effect; 3] = [Effect::Idempotent, Effect::Deduplicated, Effect::AtMostOnce];
+const EFFECTS: [RetrySafety; 3] =
+    [RetrySafety::Idempotent, RetrySafety::Deduplicated, RetrySafety::AtMostOnce];
 
 fn table(most: usize) -> Table {
-    let class = |effect| Class { effect, scope: Scope::All, memory: Ms(500.0) };
+    let class = |effect| Class { effect, scope: DedupScope::All, memory: Ms(500.0) };
     Table::new(EFFECTS.map(class).into(), Ms(100.0), Ms(200.0), most)
 }
 
@@ -86,7 +87,7 @@
 #[test]
 fn a_verdict_that_may_have_reached_its_proxy_may_have_run_until_it_says_never() {
     let earlier = |never| vec![Earlier { node: node("n1"), never, age: Ms(60.0) }];
-    for (never, end) in [(false, End::Timeout), (true, End::Moot)] {
+    for (never, end) in [(false, End::Timeout), (true, End::NotSent)] {
         let mut b = Bench::new();
         b.ask(1, &ask("r", 2, 0, Vec::new())).unwrap();
         b.decide("r", b.to("n1"));
@@ -104,7 +105,7 @@
     b.table.closed(1);
     b.decide("r", b.to("n1"));
     let out = b.ask(2, &ask("r", 2, 1, Vec::new())).unwrap();
-    assert!(matches!(&out[..], [Output::Ended(_, 0, _, End::Moot, _)]), "{out:?}");
+    assert!(matches!(&out[..], [Output::Ended(_, 0, _, End::NotSent, _)]), "{out:?}");
 }
 
 #[test]
@@ -172,32 +173,32 @@
 
 fn settings() -> Settings {
     let class = |effect| Kind {
-        aim: Ms(300.0),
-        aim_stretch: 0.0,
-        give_up: Ms(1000.0),
-        effect,
-        scope: Scope::All,
-        memory: Ms(500.0),
-        late_worth: 0.5,
-        worth: 1.0,
+        latency_target: Ms(300.0),
+        latency_target_per_work: 0.0,
+        client_timeout: Ms(1000.0),
+        retry_safety: effect,
+        dedup_scope: DedupScope::All,
+        dedup_window: Ms(500.0),
+        late_value: 0.5,
+        value: 1.0,
         streamed: false,
     };
     Settings {
         marshals: 1,
         tick: Ms(5.0),
         classes: EFFECTS.map(class).into(),
-        on_votes: 1,
-        back_votes: 1,
-        calls_per_s: 100.0,
-        allowance: 3.0,
+        advance_votes: 1,
+        revert_votes: 1,
+        platform_calls_per_s: 100.0,
+        exposure_allowance: 3.0,
         exposure_window: Ms(6000.0),
         stage_cap: vec![1.0],
-        try_limit: 6,
-        cold_from: 0.4,
-        cold: Ms(4000.0),
-        fall_multiple: 3.0,
+        max_attempts: 6,
+        cold_start_capacity: 0.4,
+        warmup: Ms(4000.0),
+        overload_multiple: 3.0,
         drain_grace: Ms(500.0),
-        ask_within: Ms(10_000.0),
+        discovery_deadline: Ms(10_000.0),
         retry_after: true,
         max_retry_after: Ms(1000.0),
         ..Settings::default()
@@ -232,7 +233,7 @@
             })
             .collect();
         module.handle(Ms(0.0), Event::Start, &mut actions);
-        module.handle(Ms(0.0), Event::Fleet(FleetForm::Restored, list), &mut actions);
+        module.handle(Ms(0.0), Event::FleetUpdate(FleetUpdateKind::Restored, list), &mut actions);
         let mut held: BTreeMap<RequestId, Held> = BTreeMap::new();
         let mut runs: BTreeMap<RequestId, u32> = BTreeMap::new();
         let mut told: BTreeMap<(RequestId, usize), Verdict> = BTreeMap::new();
@@ -277,7 +278,7 @@
                     })
                     .collect();
                 module.handle(Ms(now), Event::Start, &mut actions);
-                module.handle(Ms(now), Event::Fleet(FleetForm::Restored, list), &mut actions);
+                module.handle(Ms(now), Event::FleetUpdate(FleetUpdateKind::Restored, list), &mut actions);
                 told.clear();
                 out.clear();
             }
@@ -292,8 +293,15 @@
                     }
                     Output::Ended(id, copy, node, verdict, latency) => {
                         let settled = verdict == End::Ok;
-                        let event =
-                            Event::Completed { id, copy, node, verdict, latency, settled, load: None };
+                        let event = Event::Completed {
+                            id,
+                            attempt: copy,
+                            node,
+                            outcome: verdict,
+                            latency,
+                            is_final: settled,
+                            load: None,
+                        };
                         module.handle(Ms(now), event, &mut actions);
                     }
                     Output::Gone(id) => module.handle(Ms(now), Event::ClientGone(id), &mut actions),
@@ -340,7 +348,7 @@
                         }
                         Action::Refuse(id, wait) => (id, Decision::Refused(wait)),
                         Action::Fail(id) => (id, Decision::Failed),
-                        Action::SetAlarm(..) => continue,
+                        Action::SetTimer(..) => continue,
                         _ => continue,
                     };
                     table.decided(Ms(now), &name, decision, &mut out);
--- a/crates/profile/src/lib.rs
+++ b/crates/profile/src/lib.rs
@@ -1,7 +1,9 @@
 //! The settings as the users word them, turned into the decision module's own. The simulator's first message
 //! and a marshal's configuration hold the same object; both are read here.
 
-use milletwing_decision::interface::{Class, Control, Effect, Ms, Scope, Settings, Tenant, ZoneId};
+use milletwing_decision::interface::{
+    Class, DedupScope, Ms, RetrySafety, Settings, StageControl, Tenant, ZoneId,
+};
 use serde::Deserialize;
 
 /// The names by which an instance's events refer to its settings.
@@ -14,18 +16,18 @@
     /// Zones, in order; zones met later are added.
     pub zones: Vec<String>,
     /// Machine kinds, in order; kinds met later are added.
-    pub kinds: Vec<String>,
+    pub machine_kinds: Vec<String>,
 }
 
 /// What the settings say of connections and answers: for whoever carries the decisions out.
 #[derive(Clone, Copy, Debug)]
-pub struct Transport {
+pub struct TransportSettings {
     /// A connection that is not up by then never comes up.
     pub connect_timeout: Ms,
     /// Idle connections are closed after this.
-    pub keepalive: Ms,
+    pub idle_timeout: Ms,
     /// After a client's deadline, a final answer still counts for this long.
-    pub grace: Ms,
+    pub late_answer_grace: Ms,
 }
 
 #[derive(Deserialize)]
@@ -171,74 +173,74 @@
 }
 
 fn class(text: &ClassText) -> Result<Class, String> {
-    let effect = match text.effect.as_str() {
-        "idempotent" => Effect::Idempotent,
-        "deduplicated" => Effect::Deduplicated,
-        "at_most_once" => Effect::AtMostOnce,
+    let retry_safety = match text.effect.as_str() {
+        "idempotent" => RetrySafety::Idempotent,
+        "deduplicated" => RetrySafety::Deduplicated,
+        "at_most_once" => RetrySafety::AtMostOnce,
         other => return Err(format!("classes[].effect `{other}` is unknown")),
     };
-    let scope = match text.key_scope.as_str() {
-        "all" => Scope::All,
-        "zone" => Scope::Zone,
-        "cell" => Scope::Cell,
-        _ if effect != Effect::Deduplicated => Scope::All,
+    let dedup_scope = match text.key_scope.as_str() {
+        "all" => DedupScope::All,
+        "zone" => DedupScope::Zone,
+        "cell" => DedupScope::Cell,
+        _ if retry_safety != RetrySafety::Deduplicated => DedupScope::All,
         other => return Err(format!("classes[].key-scope `{other}` is unknown")),
     };
     Ok(Class {
-        aim: Ms(text.aim_ms),
-        aim_stretch: text.aim_stretch,
-        give_up: Ms(text.give_up_ms),
-        effect,
-        scope,
-        memory: Ms(text.memory_span_ms),
-        late_worth: text.late_worth,
-        worth: text.worth,
+        latency_target: Ms(text.aim_ms),
+        latency_target_per_work: text.aim_stretch,
+        client_timeout: Ms(text.give_up_ms),
+        retry_safety,
+        dedup_scope,
+        dedup_window: Ms(text.memory_span_ms),
+        late_value: text.late_worth,
+        value: text.worth,
         streamed: text.streamed,
     })
 }
 
 /// Reads the settings of one instance.
-pub fn read(text: &str) -> Result<(Settings, Names, Transport), String> {
+pub fn parse_settings(text: &str) -> Result<(Settings, Names, TransportSettings), String> {
     let p: Profile = serde_json::from_str(text).map_err(|problem| problem.to_string())?;
     let control = match p.domain.decided_by.as_str() {
-        "single" | "majority" => Control::Votes,
-        "clocked" => Control::Clocked,
+        "single" | "majority" => StageControl::Votes,
+        "clocked" => StageControl::Timed,
         other => return Err(format!("domain.decided-by `{other}` is unknown")),
     };
-    let transport = Transport {
+    let transport = TransportSettings {
         connect_timeout: Ms(p.permissions.connect_timeout_ms),
-        keepalive: Ms(p.permissions.keepalive_ms),
-        grace: Ms(p.rules.grace_to_answer_ms),
+        idle_timeout: Ms(p.permissions.keepalive_ms),
+        late_answer_grace: Ms(p.rules.grace_to_answer_ms),
     };
     let settings = Settings {
         marshals: p.balancers,
-        me: p.me,
-        zone: p.locality.as_ref().and_then(|zone| position(&p.zones, zone)).map(ZoneId),
+        marshal_index: p.me,
+        zone: p.locality.as_ref().and_then(|zone| index_of(&p.zones, zone)).map(ZoneId),
         tick: Ms(p.tick_ms),
         classes: p.classes.iter().map(class).collect::<Result<_, _>>()?,
         tenants: p.projects.iter().map(|t| Tenant { share: t.share, quota_per_s: t.quota_per_s }).collect(),
-        over_share_worth: p.over_share_worth,
-        ask_discovery: match p.discovery.as_str() {
+        over_share_value: p.over_share_worth,
+        subscribe_to_discovery: match p.discovery.as_str() {
             "pushed" => false,
             "on_request" => true,
             other => return Err(format!("discovery `{other}` is unknown")),
         },
         control,
         hold_votes: p.domain.hold_votes,
-        on_votes: p.domain.to_advance,
-        back_votes: p.domain.votes_to_revert,
-        vote_life: Ms(p.domain.ballot_ttl_ms),
-        answer_wait: Ms(p.domain.answer_wait_ms),
-        calls_per_s: p.domain.calls_per_s,
-        soak: Ms(p.domain.soak_ms),
-        auto_after: Ms(p.domain.auto_after_ms),
-        tally_period: Ms(p.domain.metrics_period_ms),
-        news_period: Ms(p.domain.news_period_ms),
-        counted_share: p.domain.counted_share,
-        found_share: p.domain.found_share,
-        harm_price: p.domain.harm_fee,
-        lag_price: p.domain.lag_fee,
-        allowance: p.domain.allowance,
+        advance_votes: p.domain.to_advance,
+        revert_votes: p.domain.votes_to_revert,
+        vote_ttl: Ms(p.domain.ballot_ttl_ms),
+        vote_answer_timeout: Ms(p.domain.answer_wait_ms),
+        platform_calls_per_s: p.domain.calls_per_s,
+        min_stage_duration: Ms(p.domain.soak_ms),
+        auto_advance_after: Ms(p.domain.auto_after_ms),
+        metrics_period: Ms(p.domain.metrics_period_ms),
+        stage_report_period: Ms(p.domain.news_period_ms),
+        sampled_share: p.domain.counted_share,
+        reported_wrong_share: p.domain.found_share,
+        harm_cost: p.domain.harm_fee,
+        lag_cost: p.domain.lag_fee,
+        exposure_allowance: p.domain.allowance,
         exposure_window: Ms(p.domain.exposure_window_ms),
         exposure_per_class: match p.domain.per.as_str() {
             "all" => false,
@@ -247,43 +249,43 @@
         },
         stage_cap: p.domain.stage_cap,
         stage_share: p.domain.stage_share,
-        safe_only_stages: p.domain.safe_only_stages,
-        keys_stay: p.domain.keys_stay,
+        idempotent_only_stages: p.domain.safe_only_stages,
+        sticky_keys: p.domain.keys_stay,
         side_by_side: match p.domain.style.as_str() {
             "side_by_side" => true,
             "rolling" => false,
             other => return Err(format!("domain.style `{other}` is unknown")),
         },
         warm_keys: p.domain.warm_keys,
-        second_copies: p.permissions.second_copies,
+        hedging: p.permissions.second_copies,
         may_cancel: p.permissions.may_cancel,
         probes: p.permissions.probes,
         peers: p.permissions.peers,
         retry_after: p.permissions.retry_after,
         max_retry_after: Ms(p.permissions.max_retry_after_ms),
-        try_limit: p.permissions.try_limit,
-        cross_zone_price: p.prices.cross_zone,
-        waste_price: p.prices.waste,
-        late_fail_price: p.prices.late_fail,
-        cold_from: p.rules.cold_from,
-        cold: Ms(p.rules.cold_ms),
-        fall_multiple: p.rules.fall_multiple,
-        fall_after: Ms(p.rules.tip_after_ms),
+        max_attempts: p.permissions.try_limit,
+        cross_zone_cost: p.prices.cross_zone,
+        wasted_work_cost: p.prices.waste,
+        late_failure_cost: p.prices.late_fail,
+        cold_start_capacity: p.rules.cold_from,
+        warmup: Ms(p.rules.cold_ms),
+        overload_multiple: p.rules.fall_multiple,
+        overload_duration: Ms(p.rules.tip_after_ms),
         drain_grace: Ms(p.rules.drain_grace_ms),
-        ask_within: Ms(p.rules.ask_within_ms),
-        shared: false,
-        gated: false,
+        discovery_deadline: Ms(p.rules.ask_within_ms),
+        group_decisions: false,
+        require_permits: false,
     };
     let names = Names {
         classes: p.classes.into_iter().map(|c| c.name).collect(),
         tenants: p.projects.into_iter().map(|t| t.name).collect(),
         zones: p.zones,
-        kinds: p.flavors,
+        machine_kinds: p.flavors,
     };
     Ok((settings, names, transport))
 }
 
 /// A name's place in a list.
-pub fn position(list: &[String], name: &str) -> Option<u32> {
+pub fn index_of(list: &[String], name: &str) -> Option<u32> {
     list.iter().position(|entry| entry == name).and_then(|at| u32::try_from(at).ok())
 }
--- a/crates/releases-server/src/host.rs
+++ b/crates/releases-server/src/host.rs
@@ -6,7 +6,7 @@
 use crossbeam_channel::{bounded, never, select, tick, Receiver, Sender};
 use milletwing_admin::Asked;
 use milletwing_decision::interface::{
-    Build, Event, Ms, Permits, Phase as Told, Settings as Decisions, StageNews, TenantId, Vote, ZoneId,
+    Build, Event, Ms, PermitTable, Phase as Told, Settings as Decisions, StageReport, TenantId, Vote, ZoneId,
 };
 use milletwing_marshal::server::Gating;
 use milletwing_marshal::stage::{Note, Watching};
@@ -235,7 +235,7 @@
 }
 
 impl Watching for Watcher {
-    fn told(&self, news: &StageNews) {
+    fn told(&self, news: &StageReport) {
         let verdict = match news.phase {
             Told::Reverting | Told::Withdrawn => Verdict::Back,
             Told::Released => Verdict::On,
@@ -247,7 +247,7 @@
     }
     fn cast(&self, build: Build, vote: Vote) {
         // Going on is the platform's to say; going back counts from the vote on.
-        if vote == Vote::Back {
+        if vote == Vote::Revert {
             let _ = self.words.try_send(Word::Say(self.service, build, Verdict::Back));
             // cast again
         }
@@ -257,7 +257,7 @@
 /// The gate of an instance's own service.
 impl Gating for Host {
     fn settings(&self, decisions: &mut Decisions) {
-        decisions.gated = true;
+        decisions.require_permits = true;
     }
     fn join(
         self: Box<Self>,
@@ -448,13 +448,13 @@
             for building in 0..model.buildings.len() {
                 let track = self.engine.state().track(*edition, building);
                 if track.phase != Phase::Withdrawn && (plan.released || track.phase == Phase::Released) {
-                    released.insert((Build(edition.build), attached.zones[building], Permits::NOBODY));
+                    released.insert((Build(edition.build), attached.zones[building], PermitTable::NO_TENANT));
                 }
             }
         }
         let (number, life) = (table.number, Ms(table.life as f64));
-        let permits = Arc::new(Permits { number, life, released, moving });
-        let _ = attached.notes.send(Note::Told(Event::Permits(permits))); // the marshal may have ended
+        let permits = Arc::new(PermitTable { version: number, ttl: life, released, in_rollout: moving });
+        let _ = attached.notes.send(Note::Told(Event::PermitTable(permits))); // the marshal may have ended
     }
 
     /// Answers a call; one that waits for the group is answered once that has taken it.
--- a/crates/releases-server/tests/gate.rs
+++ b/crates/releases-server/tests/gate.rs
@@ -1,7 +1,7 @@
 //! The gate on a disk: the operator's file, the journal, and what marshals are told.
 
 use crossbeam_channel::{bounded, unbounded, Receiver, Sender};
-use milletwing_decision::interface::{Build, Event, Permits, TenantId, ZoneId};
+use milletwing_decision::interface::{Build, Event, PermitTable, TenantId, ZoneId};
 use milletwing_marshal::stage::{Note, Watching};
 use milletwing_releases::engine::{Change, Engine, Now, State, Verdict};
 use milletwing_releases::model::Edition;
@@ -136,9 +136,9 @@
     (told, watcher)
 }
 
-fn table(told: &Receiver<Note>) -> Arc<Permits> {
+fn table(told: &Receiver<Note>) -> Arc<PermitTable> {
     match told.recv_timeout(Duration::from_secs(20)).expect("a table") {
-        Note::Told(Event::Permits(table)) => table,
+        Note::Told(Event::PermitTable(table)) => table,
         _ => panic!("something else"),
     }
 }
@@ -149,11 +149,11 @@
     let folder = Folder::new("gate").unwrap();
     let host = Host::start(settings(&folder.0, "0.02")).unwrap();
     let (prensa, watch) = attach(&host, 1);
-    let first = std::iter::repeat_with(|| table(&prensa)).find(|table| !table.moving.is_empty()).unwrap();
+    let first = std::iter::repeat_with(|| table(&prensa)).find(|table| !table.in_rollout.is_empty()).unwrap();
     // nave-1 is the marshal's zone 1; the first tranche is dulces-antigua, its tenant 0.
-    assert!(first.moving.contains(&(Build(7), ZoneId(1), TenantId(0))), "{first:?}");
-    assert_eq!(first.moving.len(), 1);
-    assert!(first.released.contains(&(Build(6), ZoneId(0), Permits::NOBODY)));
+    assert!(first.in_rollout.contains(&(Build(7), ZoneId(1), TenantId(0))), "{first:?}");
+    assert_eq!(first.in_rollout.len(), 1);
+    assert!(first.released.contains(&(Build(6), ZoneId(0), PermitTable::NO_TENANT)));
     assert!(
         !first.released.iter().any(|(_, zone, tenant)| (*zone, *tenant) == (ZoneId(0), TenantId(1))),
         "not at home"
@@ -168,13 +168,13 @@
     let (pedidos, _) = attach(&host, 0);
     loop {
         let table = table(&pedidos);
-        if table.moving.contains(&(Build(2), ZoneId(1), TenantId(0))) {
+        if table.in_rollout.contains(&(Build(2), ZoneId(1), TenantId(0))) {
             break;
         }
         assert!(!table.released.contains(&(Build(2), ZoneId(1), TenantId(0))));
     }
     let last = prensa.try_iter().last();
-    let Some(Note::Told(Event::Permits(last))) = last else { panic!("tables are renewed") };
+    let Some(Note::Told(Event::PermitTable(last))) = last else { panic!("tables are renewed") };
     assert!(last.released.contains(&(Build(7), ZoneId(1), TenantId(1))));
     host.stop();
     let mut again = settings(&folder.0, "0.02");
@@ -188,7 +188,10 @@
     };
     let (told, _) = attach(&host, 1);
     let table = table(&told);
-    assert!(table.number >= last.number && table.released.is_superset(&last.released), "{table:?} {last:?}");
+    assert!(
+        table.version >= last.version && table.released.is_superset(&last.released),
+        "{table:?} {last:?}"
+    );
     // Operators add what lasts, and hear why not.
     let call = |call: &Call| milletwing_admin::call(again.admin, call);
     let freeze = |name: &str, to: &str| {
@@ -281,14 +284,14 @@
     register.lock().unwrap().leader = 9;
     let hosts = [start(0), start(1)];
     let told = [attach(&hosts[0].0, 1).0, attach(&hosts[1].0, 1).0];
-    assert!(told.iter().all(|told| table(told).moving.is_empty()), "nobody leads yet");
+    assert!(told.iter().all(|told| table(told).in_rollout.is_empty()), "nobody leads yet");
     register.lock().unwrap().lose = 1; // put again after a while
     register.lock().unwrap().leader = 0;
     let moving = |told: &Receiver<Note>| {
-        std::iter::repeat_with(|| table(told)).find(|t| !t.moving.is_empty()).unwrap()
+        std::iter::repeat_with(|| table(told)).find(|t| !t.in_rollout.is_empty()).unwrap()
     };
     let [first, other] = [moving(&told[0]), moving(&told[1])];
-    assert_eq!((first.number, &first.moving), (other.number, &other.moving));
+    assert_eq!((first.version, &first.in_rollout), (other.version, &other.in_rollout));
     let say = |verdict: &str| Call::Say { service: "prensa".into(), build: 7, verdict: verdict.into() };
     let refused = milletwing_admin::call(hosts[1].1, &say("on")).unwrap_err();
     assert!(refused.contains("does not lead its group"), "{refused}");
--- a/crates/simhost/src/codec.rs
+++ b/crates/simhost/src/codec.rs
@@ -1,6 +1,6 @@
 //! Lines of the wire: taking them apart, and writing actions.
 
-use milletwing_decision::interface::{Action, Ms, Verdict, Vote};
+use milletwing_decision::interface::{Action, Ms, Outcome, Vote};
 use std::fmt::{self, Write};
 
 /// What is wrong with the input, and where.
@@ -114,16 +114,16 @@
         }
     }
     /// A needed outcome.
-    pub fn verdict(&self, field: &str) -> Result<Verdict, Bad> {
+    pub fn verdict(&self, field: &str) -> Result<Outcome, Bad> {
         Ok(match self.whole(field)? {
-            0 => Verdict::Ok,
-            13 => Verdict::Error,
-            8 => Verdict::Full,
-            4 => Verdict::Timeout,
-            14 => Verdict::ConnectFailed,
-            10 => Verdict::Reset,
-            1 => Verdict::Cancelled,
-            9 => Verdict::Moot,
+            0 => Outcome::Ok,
+            13 => Outcome::Error,
+            8 => Outcome::Rejected,
+            4 => Outcome::Timeout,
+            14 => Outcome::ConnectFailed,
+            10 => Outcome::Reset,
+            1 => Outcome::Cancelled,
+            9 => Outcome::NotSent,
             _ => return bad(field, "no such outcome"),
         })
     }
@@ -143,25 +143,25 @@
         Action::Refuse(id, Some(Ms(ms))) => writeln!(out, "OVERLOAD_REPLY\ttxn={}\tretry-in-ms={ms}", id.0),
         Action::Fail(id) => writeln!(out, "ABORT\ttxn={}", id.0),
         Action::Cancel(id, copy) => writeln!(out, "RECALL\ttxn={}\tcopy={copy}", id.0),
-        Action::Cast { build, stage, vote } => {
+        Action::CastVote { build, stage, vote } => {
             let mark = match vote {
                 Vote::None => 0,
-                Vote::On => 1,
+                Vote::Advance => 1,
                 Vote::Hold => 2,
-                Vote::Back => 3,
+                Vote::Revert => 3,
             };
             writeln!(out, "VERDICT\tstage={stage}\tmark={mark}\tbuild-no={}", build.0)
         }
         Action::Subscribe => writeln!(out, "TAIL\tactive=1"),
-        Action::FetchAll => writeln!(out, "QUERY_ALL"),
+        Action::FetchFleet => writeln!(out, "QUERY_ALL"),
         Action::Probe(node) => writeln!(out, "POLL\tnode={}", node.0),
-        Action::TellPeers(bytes) => {
+        Action::BroadcastToPeers(bytes) => {
             let data = if bytes.is_empty() { "-".to_string() } else { STANDARD.encode(bytes) };
             writeln!(out, "MEMO_TO\ttarget=all\tdata={data}")
         }
         // Instances on the simulator's wire judge alone.
-        Action::Evidence(_) | Action::Judged { .. } => Ok(()),
-        Action::SetAlarm(key, Ms(ms)) => writeln!(out, "SET_ALARM\tkey-back={key}\tinstant-ms={ms}"),
+        Action::ShareEvidence(_) | Action::ProposeDecision { .. } => Ok(()),
+        Action::SetTimer(key, Ms(ms)) => writeln!(out, "SET_ALARM\tkey-back={key}\tinstant-ms={ms}"),
         Action::Log(text) => writeln!(out, "RECORD\tnote-text={}", text.replace(['\n', '\t'], " ")),
     };
     done.unwrap_or_default();
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -2,11 +2,11 @@
 
 use crate::codec::{bad, write_action, Bad, Line, Problem};
 use milletwing_decision::interface::{
-    Build, ClassId, Event, FleetForm, Key, KindId, LoadReport, Ms, NodeEntry, NodeId, NodeState, Phase,
-    RequestId, StageNews, TenantId, Verdict, ZoneId,
+    Build, ClassId, Event, FleetUpdateKind, Key, LoadReport, MachineKindId, Ms, NodeEntry, NodeId, NodeState,
+    Outcome, Phase, RequestId, StageReport, TenantId, ZoneId,
 };
 use milletwing_decision::Marshal;
-use milletwing_profile::{self as profile, position, Names};
+use milletwing_profile::{self as profile, index_of, Names};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::sync::Arc;
@@ -110,8 +110,8 @@
             "SPAWN" => {
                 let salt = line.whole("salt")?;
                 let text = line.tail("profile-data")?;
-                let (settings, names, _) =
-                    profile::read(text).or_else(|problem| bad("profile-data", problem.replace('\n', " ")))?;
+                let (settings, names, _) = profile::parse_settings(text)
+                    .or_else(|problem| bad("profile-data", problem.replace('\n', " ")))?;
                 let current = self.named()?;
                 let marshal = Marshal::new(settings, salt);
                 self.instances.insert(current, Instance { marshal, names });
@@ -177,7 +177,7 @@
 }
 
 fn add(list: &mut Vec<String>, name: &str) -> u32 {
-    position(list, name).unwrap_or_else(|| {
+    index_of(list, name).unwrap_or_else(|| {
         list.push(name.to_string());
         list.len() as u32 - 1
     })
@@ -190,8 +190,8 @@
         let value = value.parse::<f64>().ok().filter(|v| v.is_finite());
         match name {
             "busy_reqs" => report.inflight = value,
-            "pending" => report.queue = value,
-            "cpu_share" => report.busy = value,
+            "pending" => report.queued = value,
+            "cpu_share" => report.cpu_utilization = value,
             _ => {}
         }
     }
@@ -201,31 +201,31 @@
 fn event(line: Line<'_>, names: &mut Names, pages: &BTreeMap<u32, Vec<Row>>) -> Result<Event, Bad> {
     let request = || line.text("txn").map(|id| RequestId(Arc::from(id)));
     let node = || line.text("node").map(|id| NodeId(Arc::from(id)));
-    let class = |names: &Names| match position(&names.classes, line.text("service")?) {
+    let class = |names: &Names| match index_of(&names.classes, line.text("service")?) {
         Some(at) => Ok(ClassId(at as usize)),
         None => bad("service", "no such class"),
     };
     Ok(match line.name {
         "FLEET" => {
             let form = match line.text("form")? {
-                "update" => FleetForm::Update,
-                "replace" => FleetForm::Replace,
-                "restored" => FleetForm::Restored,
-                "unavailable" => return Ok(Event::Fleet(FleetForm::Unavailable, Vec::new())),
+                "update" => FleetUpdateKind::Update,
+                "replace" => FleetUpdateKind::Replace,
+                "restored" => FleetUpdateKind::Restored,
+                "unavailable" => return Ok(Event::FleetUpdate(FleetUpdateKind::Unavailable, Vec::new())),
                 _ => return bad("form", "no such form"),
             };
             let Some(rows) = pages.get(&line.small("slot")?) else { return bad("slot", "no such PAGE") };
             let entry = |row: &Row| NodeEntry {
                 node: NodeId(Arc::from(row.node.as_str())),
                 zone: ZoneId(add(&mut names.zones, &row.zone)),
-                kind: KindId(add(&mut names.kinds, &row.kind)),
+                machine_kind: MachineKindId(add(&mut names.machine_kinds, &row.kind)),
                 cell: row.cell,
                 state: row.state,
                 weight: row.weight,
                 build: Build(row.build),
                 started: (row.started > 0.0).then_some(Ms(row.started)),
             };
-            Event::Fleet(form, rows.iter().map(entry).collect())
+            Event::FleetUpdate(form, rows.iter().map(entry).collect())
         }
         "INBOUND" => Event::Request {
             id: request()?,
@@ -233,36 +233,36 @@
             key: line.get("entity").filter(|key| !key.is_empty()).map(|key| Key(Arc::from(key))),
             tenant: line
                 .get("realm")
-                .and_then(|name| position(&names.tenants, name))
+                .and_then(|name| index_of(&names.tenants, name))
                 .map(|at| TenantId(at as usize)),
             expires_in: line.ms("expires-in-ms")?,
             work_hint: line.number_if("size-hint-ms")?.map(Ms),
             is_retry: line.flag("is-retry")?,
         },
         "CLIENT_GONE" => Event::ClientGone(request()?),
-        "STARTED" => Event::Started(request()?, line.small("copy")?),
+        "STARTED" => Event::StreamStarted(request()?, line.small("copy")?),
         "COMPLETED" => Event::Completed {
             id: request()?,
-            copy: line.small("copy")?,
+            attempt: line.small("copy")?,
             node: node()?,
-            verdict: line.verdict("verdict")?,
+            outcome: line.verdict("verdict")?,
             latency: line.ms("latency-ms")?,
-            settled: line.flag("settled")?,
+            is_final: line.flag("settled")?,
             load: load(line),
         },
         "CHECK_RESULT" => {
-            Event::Probed(node()?, line.verdict("verdict")?, line.ms("latency-ms")?, load(line))
+            Event::ProbeCompleted(node()?, line.verdict("verdict")?, line.ms("latency-ms")?, load(line))
         }
         "PROMOTION" => {
             let verdict = line.verdict("verdict")?;
             // A vote that failed brings no state; its fields are not needed then.
             let needed = |field: &str| match line.number_if(field)? {
-                None if verdict == Verdict::Ok => bad(field, "missing"),
+                None if verdict == Outcome::Ok => bad(field, "missing"),
                 value => Ok(value.unwrap_or(0.0)),
             };
-            Event::Stage(StageNews {
+            Event::StageReport(StageReport {
                 answers_vote: line.number_if("mark")? == Some(1.0),
-                verdict,
+                outcome: verdict,
                 build: Build(needed("build-no")? as u32),
                 stage: needed("stage")? as u32,
                 phase: match needed("progress")? as u32 {
@@ -276,7 +276,7 @@
                 age: Ms(line.number_if("lateness-ms")?.unwrap_or(0.0)),
             })
         }
-        "SCORECARD" => Event::Tally {
+        "SCORECARD" => Event::Metrics {
             age: line.ms("lateness-ms")?,
             class: class(names)?,
             build: Build(line.small("build-no")?),
@@ -284,7 +284,7 @@
             failed: line.number("failed")?,
             latency: Ms(line.number_if("latency-ms")?.unwrap_or(0.0)),
         },
-        "COMPLAINT" => Event::Complaint {
+        "COMPLAINT" => Event::WrongAnswer {
             node: node()?,
             class: class(names)?,
             age: Ms(line.number_if("lateness-ms")?.unwrap_or(0.0)),
@@ -295,8 +295,8 @@
                 "-" => Vec::new(),
                 data => STANDARD.decode(data).or_else(|_| bad("data", "not base64"))?,
             };
-            Event::Peer(line.small("neighbour")?, data)
+            Event::PeerMessage(line.small("neighbour")?, data)
         }
-        _ => Event::Alarm(line.text("key-back")?.to_string()),
+        _ => Event::Timer(line.text("key-back")?.to_string()),
     })
 }
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The codec and the hosting, on short scripts.
 
-use milletwing_decision::interface::{Action, Build, Ms, NodeId, RequestId, Verdict, Vote};
+use milletwing_decision::interface::{Action, Build, Ms, NodeId, Outcome, RequestId, Vote};
 use milletwing_simhost::codec::{write_action, Line};
 use milletwing_simhost::host::Host;
 use std::io::Write;
@@ -62,14 +62,14 @@
 #[test]
 fn every_outcome_is_known_and_others_are_not() {
     let known = [
-        (0, Verdict::Ok),
-        (13, Verdict::Error),
-        (8, Verdict::Full),
-        (4, Verdict::Timeout),
-        (14, Verdict::ConnectFailed),
-        (10, Verdict::Reset),
-        (1, Verdict::Cancelled),
-        (9, Verdict::Moot),
+        (0, Outcome::Ok),
+        (13, Outcome::Error),
+        (8, Outcome::Rejected),
+        (4, Outcome::Timeout),
+        (14, Outcome::ConnectFailed),
+        (10, Outcome::Reset),
+        (1, Outcome::Cancelled),
+        (9, Outcome::NotSent),
     ];
     for (code, verdict) in known {
         assert_eq!(Line::new(&format!("X\tverdict={code}")).verdict("verdict"), Ok(verdict));
@@ -91,27 +91,27 @@
         (Action::Fail(id.clone()), "ABORT\ttxn=r-1"),
         (Action::Cancel(id, 2), "RECALL\ttxn=r-1\tcopy=2"),
         (
-            Action::Cast { build: Build(42), stage: 2, vote: Vote::Back },
+            Action::CastVote { build: Build(42), stage: 2, vote: Vote::Revert },
             "VERDICT\tstage=2\tmark=3\tbuild-no=42",
         ),
         (
-            Action::Cast { build: Build(42), stage: 2, vote: Vote::On },
+            Action::CastVote { build: Build(42), stage: 2, vote: Vote::Advance },
             "VERDICT\tstage=2\tmark=1\tbuild-no=42",
         ),
         (
-            Action::Cast { build: Build(4), stage: 0, vote: Vote::Hold },
+            Action::CastVote { build: Build(4), stage: 0, vote: Vote::Hold },
             "VERDICT\tstage=0\tmark=2\tbuild-no=4",
         ),
         (
-            Action::Cast { build: Build(4), stage: 0, vote: Vote::None },
+            Action::CastVote { build: Build(4), stage: 0, vote: Vote::None },
             "VERDICT\tstage=0\tmark=0\tbuild-no=4",
         ),
         (Action::Subscribe, "TAIL\tactive=1"),
-        (Action::FetchAll, "QUERY_ALL"),
+        (Action::FetchFleet, "QUERY_ALL"),
         (Action::Probe(node), "POLL\tnode=a:1"),
-        (Action::TellPeers(b"hi 7".to_vec()), "MEMO_TO\ttarget=all\tdata=aGkgNw=="),
-        (Action::TellPeers(Vec::new()), "MEMO_TO\ttarget=all\tdata=-"),
-        (Action::SetAlarm("beat".into(), Ms(8912.25)), "SET_ALARM\tkey-back=beat\tinstant-ms=8912.25"),
+        (Action::BroadcastToPeers(b"hi 7".to_vec()), "MEMO_TO\ttarget=all\tdata=aGkgNw=="),
+        (Action::BroadcastToPeers(Vec::new()), "MEMO_TO\ttarget=all\tdata=-"),
+        (Action::SetTimer("beat".into(), Ms(8912.25)), "SET_ALARM\tkey-back=beat\tinstant-ms=8912.25"),
         (Action::Log("two\nlines".into()), "RECORD\tnote-text=two lines"),
     ];
     for (action, line) in cases {
@@ -200,19 +200,19 @@
 
 #[test]
 fn each_control_style_and_permission_is_read_and_unknown_ones_are_named() {
-    use milletwing_decision::interface::Control;
-    use milletwing_profile::read;
+    use milletwing_decision::interface::StageControl;
+    use milletwing_profile::parse_settings;
     for (word, control) in
-        [("single", Control::Votes), ("majority", Control::Votes), ("clocked", Control::Clocked)]
+        [("single", StageControl::Votes), ("majority", StageControl::Votes), ("clocked", StageControl::Timed)]
     {
-        let (settings, ..) = read(&PROFILE.replace("majority", word)).unwrap();
+        let (settings, ..) = parse_settings(&PROFILE.replace("majority", word)).unwrap();
         assert_eq!(settings.control, control);
     }
-    assert!(read(&PROFILE.replace("majority", "lottery")).unwrap_err().contains("decided-by"));
+    assert!(parse_settings(&PROFILE.replace("majority", "lottery")).unwrap_err().contains("decided-by"));
     let text = PROFILE
         .replace("\"peers\":false", "\"peers\":true")
         .replace("\"second-copies\":false", "\"second-copies\":true");
-    let (settings, names, _) = read(&text).unwrap();
-    assert!(settings.peers && settings.second_copies && settings.tenants.is_empty());
+    let (settings, names, _) = parse_settings(&text).unwrap();
+    assert!(settings.peers && settings.hedging && settings.tenants.is_empty());
     assert_eq!((names.classes.len(), settings.zone.map(|zone| zone.0)), (3, Some(0)));
 }
--- a/crates/trials/src/judging.rs
+++ b/crates/trials/src/judging.rs
@@ -45,16 +45,16 @@
     (Harm::Wrong, "wrong answers"),
 ];
 
-fn class(effect: Effect) -> Class {
+fn class(effect: RetrySafety) -> Class {
     Class {
-        aim: Ms(300.0),
-        aim_stretch: 0.0,
-        give_up: Ms(1000.0),
-        effect,
-        scope: Scope::All,
-        memory: Ms(500.0),
-        late_worth: 0.1,
-        worth: 1.0,
+        latency_target: Ms(300.0),
+        latency_target_per_work: 0.0,
+        client_timeout: Ms(1000.0),
+        retry_safety: effect,
+        dedup_scope: DedupScope::All,
+        dedup_window: Ms(500.0),
+        late_value: 0.1,
+        value: 1.0,
         streamed: false,
     }
 }
@@ -63,32 +63,36 @@
     let of = |part: f64| ((instances as f64 * part).ceil() as u32).max(1);
     Settings {
         marshals: instances as u32,
-        me: me as u32,
+        marshal_index: me as u32,
         tick: Ms(5.0),
-        classes: vec![class(Effect::Idempotent), class(Effect::Deduplicated), class(Effect::AtMostOnce)],
-        on_votes: of(0.4),
-        back_votes: of(0.25),
-        vote_life: Ms(6000.0),
-        answer_wait: Ms(2000.0),
-        calls_per_s: 300.0,
-        soak: Ms(1500.0),
-        news_period: Ms(4000.0),
-        found_share: 0.3,
-        allowance: 3.0,
+        classes: vec![
+            class(RetrySafety::Idempotent),
+            class(RetrySafety::Deduplicated),
+            class(RetrySafety::AtMostOnce),
+        ],
+        advance_votes: of(0.4),
+        revert_votes: of(0.25),
+        vote_ttl: Ms(6000.0),
+        vote_answer_timeout: Ms(2000.0),
+        platform_calls_per_s: 300.0,
+        min_stage_duration: Ms(1500.0),
+        stage_report_period: Ms(4000.0),
+        reported_wrong_share: 0.3,
+        exposure_allowance: 3.0,
         exposure_window: Ms(6000.0),
         stage_cap: vec![0.25, 0.5, 1.0],
         stage_share: vec![0.25, 0.5, 1.0],
         retry_after: true,
         max_retry_after: Ms(1000.0),
-        try_limit: 6,
-        cold_from: 0.4,
-        cold: Ms(4000.0),
-        fall_multiple: 3.0,
-        fall_after: Ms(3000.0),
+        max_attempts: 6,
+        cold_start_capacity: 0.4,
+        warmup: Ms(4000.0),
+        overload_multiple: 3.0,
+        overload_duration: Ms(3000.0),
         drain_grace: Ms(500.0),
-        ask_within: Ms(10_000.0),
+        discovery_deadline: Ms(10_000.0),
         may_cancel: true,
-        shared,
+        group_decisions: shared,
         ..Settings::default()
     }
 }
@@ -152,17 +156,25 @@
         let failed = new && self.harm == Harm::Errors && class == 1 && self.dice.random_bool(0.5);
         let wrong = new && self.harm == Harm::Wrong && self.dice.random_bool(0.33);
         let verdict = match (took > timeout.0, failed) {
-            (true, _) => Verdict::Timeout,
-            (_, true) => Verdict::Error,
-            _ => Verdict::Ok,
+            (true, _) => Outcome::Timeout,
+            (_, true) => Outcome::Error,
+            _ => Outcome::Ok,
         };
         let latency = took.min(timeout.0);
-        if wrong && verdict == Verdict::Ok && self.dice.random_bool(0.3) {
+        if wrong && verdict == Outcome::Ok && self.dice.random_bool(0.3) {
             let (node, class, age) = (node.clone(), ClassId(class), Ms(latency + 2000.0));
-            self.set(self.now + latency + 2000.0, instance, Event::Complaint { node, class, age });
+            self.set(self.now + latency + 2000.0, instance, Event::WrongAnswer { node, class, age });
         }
-        let settled = verdict == Verdict::Ok;
-        let event = Event::Completed { id, copy, node, verdict, latency: Ms(latency), settled, load: None };
+        let settled = verdict == Outcome::Ok;
+        let event = Event::Completed {
+            id,
+            attempt: copy,
+            node,
+            outcome: verdict,
+            latency: Ms(latency),
+            is_final: settled,
+            load: None,
+        };
         self.set(self.now + latency, instance, event);
     }
 }
@@ -178,9 +190,9 @@
     let mut list: Vec<NodeEntry> = (0..OLD).map(|at| entry(format!("n{at}"), 1)).collect();
     let news = |build: u32, phase, cap| {
         let (build, age) = (Build(build), Ms(0.0));
-        Event::Stage(StageNews {
+        Event::StageReport(StageReport {
             answers_vote: false,
-            verdict: Verdict::Ok,
+            outcome: Outcome::Ok,
             build,
             stage: 0,
             phase,
@@ -195,7 +207,7 @@
     let mut t = Trial { now: 1e6, dice, due: BinaryHeap::new(), numbers: 0, harm, copies: BTreeMap::new() };
     for at in 0..instances {
         t.set(t.now, at, Event::Start);
-        t.set(t.now, at, Event::Fleet(FleetForm::Restored, list.clone()));
+        t.set(t.now, at, Event::FleetUpdate(FleetUpdateKind::Restored, list.clone()));
         t.set(t.now, at, news(1, Phase::Released, 1.0));
     }
     list.extend((0..NEW).map(|at| entry(format!("t{at}"), 2)));
@@ -203,11 +215,11 @@
     let began = t.now + 12_000.0;
     for at in 0..instances {
         t.set(began, at, news(2, Phase::Trial, 0.25));
-        t.set(began, at, Event::Fleet(FleetForm::Update, list[OLD..].to_vec()));
-        t.set(began, at, Event::Group(GroupNews::Grant(Build(2), 0.25)));
-        t.set(began, at, Event::Group(GroupNews::Leads(at == 0)));
+        t.set(began, at, Event::FleetUpdate(FleetUpdateKind::Update, list[OLD..].to_vec()));
+        t.set(began, at, Event::GroupMessage(GroupMessage::ExposureGrant(Build(2), 0.25)));
+        t.set(began, at, Event::GroupMessage(GroupMessage::Leadership(at == 0)));
     }
-    let back_votes = settings(instances, 0, shared).back_votes as usize;
+    let back_votes = settings(instances, 0, shared).revert_votes as usize;
     let mut seen: BTreeMap<usize, Evidence> = BTreeMap::new();
     let mut votes: BTreeMap<usize, f64> = BTreeMap::new();
     let (mut ended, mut asked, mut pool_at) = (Ended::default(), 0u64, began);
@@ -230,7 +242,7 @@
             pool_at += REPORT;
             let pool = seen.values().cloned().reduce(|sum, part| sum.plus(&part));
             if let Some(pool) = pool {
-                t.set(t.now + 2.0 * WORD, 0, Event::Group(GroupNews::Pool(pool)));
+                t.set(t.now + 2.0 * WORD, 0, Event::GroupMessage(GroupMessage::PooledEvidence(pool)));
             }
         }
         while t.due.peek().is_some_and(|due| due.0 <= t.now) {
@@ -242,21 +254,23 @@
                         t.attempt(at, id, node, timeout.unwrap_or(Ms(1000.0)))
                     }
                     Action::Refuse(id, _) | Action::Fail(id) => drop(t.copies.remove(&(at, id))),
-                    Action::SetAlarm(key, due) => t.set(due.0, at, Event::Alarm(key)),
-                    Action::Evidence(evidence) if evidence.build == Build(2) => {
+                    Action::SetTimer(key, due) => t.set(due.0, at, Event::Timer(key)),
+                    Action::ShareEvidence(evidence) if evidence.build == Build(2) => {
                         drop(seen.insert(at, *evidence))
                     }
-                    Action::Judged { build, stage, vote }
-                        if decided.is_none_or(|was| was != vote && was != Vote::Back) =>
+                    Action::ProposeDecision { build, stage, vote }
+                        if decided.is_none_or(|was| was != vote && was != Vote::Revert) =>
                     {
                         decided = Some(vote);
                         for other in 0..instances {
-                            let news = GroupNews::Decided(build, stage, vote);
-                            t.set(t.now + 2.0 * WORD, other, Event::Group(news));
+                            let news = GroupMessage::Decided(build, stage, vote);
+                            t.set(t.now + 2.0 * WORD, other, Event::GroupMessage(news));
                         }
                     }
-                    Action::Cast { vote: Vote::Back, .. } => drop(votes.insert(at, t.now)),
-                    Action::Cast { vote: Vote::On, .. } => drop(ended.on.get_or_insert(t.now - began)),
+                    Action::CastVote { vote: Vote::Revert, .. } => drop(votes.insert(at, t.now)),
+                    Action::CastVote { vote: Vote::Advance, .. } => {
+                        ended.on.get_or_insert(t.now - began);
+                    }
                     _ => {}
                 }
             }
--- a/crates/trials/src/measure.rs
+++ b/crates/trials/src/measure.rs
@@ -1,8 +1,8 @@
 //! Measurements without failures: what planning takes by size, and what the gate costs a decision.
 
 use milletwing_decision::interface::{
-    Action, Build, Class, ClassId, Effect, Event, FleetForm, Ms, NodeEntry, NodeId, Permits, RequestId,
-    Scope as Scope_, Settings, TenantId, Verdict as Verdict_, ZoneId,
+    Action, Build, Class, ClassId, DedupScope as Scope_, Event, FleetUpdateKind, Ms, NodeEntry, NodeId,
+    Outcome as Verdict_, PermitTable, RequestId, RetrySafety, Settings, TenantId, ZoneId,
 };
 use milletwing_decision::Marshal;
 use milletwing_releases::calendar::{Freeze, Mode, Scope, Span};
@@ -85,35 +85,35 @@
 
 fn settings(gated: bool) -> Settings {
     let class = Class {
-        aim: Ms(300.0),
-        aim_stretch: 0.0,
-        give_up: Ms(1000.0),
-        effect: Effect::Idempotent,
-        scope: Scope_::All,
-        memory: Ms(500.0),
-        late_worth: 0.0,
-        worth: 1.0,
+        latency_target: Ms(300.0),
+        latency_target_per_work: 0.0,
+        client_timeout: Ms(1000.0),
+        retry_safety: RetrySafety::Idempotent,
+        dedup_scope: Scope_::All,
+        dedup_window: Ms(500.0),
+        late_value: 0.0,
+        value: 1.0,
         streamed: false,
     };
     Settings {
         marshals: 1,
         tick: Ms(5.0),
         classes: vec![class],
-        on_votes: 1,
-        back_votes: 1,
-        vote_life: Ms(6000.0),
-        answer_wait: Ms(2000.0),
-        calls_per_s: 100.0,
-        allowance: 3.0,
+        advance_votes: 1,
+        revert_votes: 1,
+        vote_ttl: Ms(6000.0),
+        vote_answer_timeout: Ms(2000.0),
+        platform_calls_per_s: 100.0,
+        exposure_allowance: 3.0,
         exposure_window: Ms(6000.0),
         stage_cap: vec![1.0],
-        try_limit: 6,
-        cold_from: 0.4,
-        cold: Ms(4000.0),
-        fall_multiple: 3.0,
+        max_attempts: 6,
+        cold_start_capacity: 0.4,
+        warmup: Ms(4000.0),
+        overload_multiple: 3.0,
         drain_grace: Ms(500.0),
-        ask_within: Ms(10_000.0),
-        gated,
+        discovery_deadline: Ms(10_000.0),
+        require_permits: gated,
         ..Settings::default()
     }
 }
@@ -132,13 +132,13 @@
         })
         .collect();
     marshal.handle(Ms(1000.0), Event::Start, &mut out);
-    marshal.handle(Ms(1000.0), Event::Fleet(FleetForm::Restored, list), &mut out);
+    marshal.handle(Ms(1000.0), Event::FleetUpdate(FleetUpdateKind::Restored, list), &mut out);
     if entries > 0 {
         let of =
             |at: usize| (Build(1 + (at / 1000) as u32), ZoneId((at % 20) as u32), TenantId(at / 20 % 50));
         let released: HashSet<_> = (0..entries).map(of).collect();
-        let table = Permits { number: 1, life: Ms(1e12), released, moving: HashSet::new() };
-        marshal.handle(Ms(1000.0), Event::Permits(Arc::new(table)), &mut out);
+        let table = PermitTable { version: 1, ttl: Ms(1e12), released, in_rollout: HashSet::new() };
+        marshal.handle(Ms(1000.0), Event::PermitTable(Arc::new(table)), &mut out);
     }
     let ids: Vec<RequestId> = (0..rounds).map(|at| RequestId(Arc::from(format!("q{at}").as_str()))).collect();
     let from = Instant::now();
@@ -160,7 +160,7 @@
         let (verdict, latency, settled, load) = (Verdict_::Ok, Ms(20.0), true, None);
         marshal.handle(
             now,
-            Event::Completed { id, copy: 0, node, verdict, latency, settled, load },
+            Event::Completed { id, attempt: 0, node, outcome: verdict, latency, is_final: settled, load },
             &mut out,
         );
     }
--- a/crates/trials/src/releases.rs
+++ b/crates/trials/src/releases.rs
@@ -6,7 +6,7 @@
 use crate::world::locked;
 use indicatif::{ProgressBar, ProgressStyle};
 use milletwing_admin as admin;
-use milletwing_decision::interface::{Build, Event, Ms, Permits, TenantId, ZoneId};
+use milletwing_decision::interface::{Build, Event, Ms, PermitTable, TenantId, ZoneId};
 use milletwing_marshal::server::{Extras, Gating};
 use milletwing_marshal::stage::{Note, Watching};
 use milletwing_marshal::{Limits, Server};
@@ -53,7 +53,7 @@
 /// An entry of a table.
 type Entry = (Build, ZoneId, TenantId);
 /// A table as it was told to a service's marshal.
-type ToldTable = (Instant, usize, Arc<Permits>);
+type ToldTable = (Instant, usize, Arc<PermitTable>);
 
 #[derive(Default)]
 struct Seen {
@@ -76,7 +76,7 @@
 }
 
 /// What is done with a table as it is told to a service's marshal.
-type Heard = Arc<dyn Fn(usize, &Arc<Permits>) + Send + Sync>;
+type Heard = Arc<dyn Fn(usize, &Arc<PermitTable>) + Send + Sync>;
 
 /// The gate by way of an ear of the trial's own: what is told is noted before it is.
 struct Ear {
@@ -87,7 +87,7 @@
 
 impl Gating for Ear {
     fn settings(&self, decisions: &mut milletwing_decision::interface::Settings) {
-        decisions.gated = true;
+        decisions.require_permits = true;
     }
     fn join(
         self: Box<Self>,
@@ -99,7 +99,7 @@
         let (heard, service) = (self.heard.clone(), self.service);
         std::thread::spawn(move || {
             while let Ok(note) = told.recv() {
-                if let Note::Told(Event::Permits(table)) = &note {
+                if let Note::Told(Event::PermitTable(table)) = &note {
                     heard(service, table);
                 }
                 if notes.send(note).is_err() {
@@ -246,10 +246,10 @@
 /// output before it is told.
 pub fn gated(releases: &str, configs: &[String]) -> Result<bool, String> {
     let host = Host::start(Settings::from_file(releases)?)?;
-    let heard: Heard = Arc::new(|service, table: &Arc<Permits>| {
+    let heard: Heard = Arc::new(|service, table: &Arc<PermitTable>| {
         let words = |list: &HashSet<Entry>| list.iter().map(|(b, z, t)| (b.0, z.0, t.0 as u64)).collect();
-        let (released, moving) = (words(&table.released), words(&table.moving));
-        let line = Line { service, number: table.number, life_ms: table.life.0, released, moving };
+        let (released, moving) = (words(&table.released), words(&table.in_rollout));
+        let line = Line { service, number: table.version, life_ms: table.ttl.0, released, moving };
         let text = serde_json::to_string(&line).unwrap_or_default();
         println!("{text}");
     });
@@ -295,7 +295,8 @@
                 list.into_iter().map(|(b, z, t)| (Build(b), ZoneId(z), TenantId(t as usize))).collect()
             };
             let (released, moving) = (words(line.released), words(line.moving));
-            let table = Permits { number: line.number, life: Ms(line.life_ms), released, moving };
+            let table =
+                PermitTable { version: line.number, ttl: Ms(line.life_ms), released, in_rollout: moving };
             locked(&seen).tables.push((Instant::now(), line.service, Arc::new(table)));
         }
     });
@@ -325,10 +326,10 @@
     };
     let permits = |service: usize, edition: u32, building: usize, customer: Option<usize>, at: Instant| {
         of(service, at).iter().any(|(told, table)| {
-            let lives = at <= *told + Duration::from_secs_f64(table.life.0 / 1000.0) + GRACE;
+            let lives = at <= *told + Duration::from_secs_f64(table.ttl.0 / 1000.0) + GRACE;
             (0..CUSTOMERS.len()).filter(|c| customer.is_none_or(|only| only == *c)).any(|customer| {
                 let entry = (Build(edition), zone(building), TenantId(customer));
-                table.released.contains(&entry) || (lives && table.moving.contains(&entry))
+                table.released.contains(&entry) || (lives && table.in_rollout.contains(&entry))
             })
         })
     };
@@ -345,8 +346,8 @@
     // In each table, editions on their way in a building.
     let mut moving: BTreeMap<(u64, usize), BTreeSet<(usize, u32)>> = BTreeMap::new();
     for (_, service, table) in &seen.tables {
-        for (build, zone, _) in &table.moving {
-            moving.entry((table.number, zone.0 as usize)).or_default().insert((*service, build.0));
+        for (build, zone, _) in &table.in_rollout {
+            moving.entry((table.version, zone.0 as usize)).or_default().insert((*service, build.0));
         }
     }
     broken.cap_broken = moving.values().filter(|moving| moving.len() > budget).count() as u64;
