--- a/crates/control-plane/src/core/subscriptions.rs
+++ b/crates/control-plane/src/core/subscriptions.rs
@@ -85,7 +85,8 @@
         if cores.is_empty() {
             cores.push(self.settings.id());
         }
-        let leader_contact = self.member.fresh(now, FRESH) && !self.member.lost() && !self.drift.odd(now);
+        let leader_contact =
+            self.member.has_recent_state(now, FRESH) && !self.member.has_lost_state() && !self.drift.odd(now);
         let edges = self.registry.ready_edges(now).len() as u32;
         ToEdge::Heartbeat { leader_contact, index: self.view.index, cores, edges, loads }
     }
--- a/crates/group/src/member.rs
+++ b/crates/group/src/member.rs
@@ -9,9 +9,9 @@
 use crate::calls::{Calls, Stand, Step, Wanted};
 use crate::grant::{Held, PeerNote};
 use crate::lease::{Lease, Time};
-use crate::log::{bytes, Log, Stored};
+use crate::log::{bytes, Log, StoredState};
 use crate::record::{Command, MemberId, Record, Standing};
-use milletwing_decision::interface::{Build, Evidence, GroupNews};
+use milletwing_decision::interface::{Build, Evidence, GroupMessage};
 use raft::prelude::{ConfState, Snapshot};
 use raft::{Config, RawNode, StateRole};
 use std::collections::BTreeMap;
@@ -56,7 +56,7 @@
     /// Beside it: to a peer.
     Tell(MemberId, PeerNote),
     /// To the module.
-    News(GroupNews),
+    News(GroupMessage),
     /// Make this call as long as the lease holds.
     Call(Wanted),
     /// Tell the module that this call was never made.
@@ -155,7 +155,7 @@
 }
 
 /// What every founding member's store begins with: the same for all of them.
-pub fn founding(members: &BTreeMap<MemberId, String>) -> Stored {
+pub fn founding(members: &BTreeMap<MemberId, String>) -> StoredState {
     let mut record = Record::default();
     for (id, address) in members {
         record.join(*id, address, true);
@@ -167,12 +167,12 @@
     snapshot.set_data(encode(&record).into());
     let mut hard = raft::prelude::HardState::default();
     (hard.term, hard.commit) = (1, 1);
-    Stored { hard: Some(bytes(&hard)), entries: Vec::new(), snapshot: Some(bytes(&snapshot)) }
+    StoredState { hard_state: Some(bytes(&hard)), entries: Vec::new(), snapshot: Some(bytes(&snapshot)) }
 }
 
 impl Member {
     /// Goes on from what a store holds; an empty one waits to be added to a group. Errors are for operators.
-    pub fn new(set: Options, stored: &Stored, now: Time) -> Result<Member, String> {
+    pub fn new(set: Options, stored: &StoredState, now: Time) -> Result<Member, String> {
         let log = Log::read(stored)?;
         let data = log.snapshot.get_data();
         let record: Record = if data.is_empty() { Record::default() } else { decode(data)? };
@@ -344,7 +344,7 @@
         if let Some((build, cap)) = self.held.lapse(now) {
             self.out
                 .push(log_of(format!("the grant for build {} has run out: nothing new goes to it", build.0)));
-            self.out.push(Output::News(GroupNews::Grant(build, cap)));
+            self.out.push(Output::News(GroupMessage::ExposureGrant(build, cap)));
         }
         self.report(now);
         self.snapshots(now);
@@ -353,7 +353,7 @@
             self.promote();
             if std::mem::take(&mut self.pooled) {
                 let pool = self.record.pool();
-                self.out.extend(pool.map(|pool| Output::News(GroupNews::Pool(pool))));
+                self.out.extend(pool.map(|pool| Output::News(GroupMessage::PooledEvidence(pool))));
             }
         }
     }
@@ -377,6 +377,6 @@
         self.pooled = true;
         self.judged = None;
         self.told = self.told.take().map(|(standing, _)| (standing, now));
-        self.out.push(Output::News(GroupNews::Leads(leads.is_some())));
+        self.out.push(Output::News(GroupMessage::Leadership(leads.is_some())));
     }
 }
