--- a/crates/control-plane/src/core.rs
+++ b/crates/control-plane/src/core.rs
@@ -18,7 +18,7 @@
 use milletwing_config::{event, Settings};
 use milletwing_consensus::{Id, LogPosition, Member, Message, Options, Role};
 use milletwing_drift_detection::Finding;
-use milletwing_outlier_detection::{Board, Observed, Tally};
+use milletwing_outlier_detection::{HostObservation, LoadBoard, OutlierDetector};
 use milletwing_replicated_state::{EdgeStatus, Registry, View};
 use milletwing_sequential_test::{self as sequential_test};
 use milletwing_wire::{Answer, Peer};
@@ -63,7 +63,7 @@
     begun: Time,
     started: Time,
     nodes: usize,
-    tally: sequential_test::Tally,
+    tally: sequential_test::TrialTally,
 }
 
 /// What goes to an edge; a pulse with the time when it was made.
@@ -138,10 +138,10 @@
     told: Time,
     beaten: Time,
     /// Loads of marshals as edges were told them; and what the edges of this machine met, for the others.
-    board: Board,
+    board: LoadBoard,
     /// What edges met at hosts, as this machine weighs it while it leads.
-    tally: Tally,
-    met: BTreeMap<u32, (u64, Time, Vec<Observed>)>,
+    tally: OutlierDetector,
+    met: BTreeMap<u32, (u64, Time, Vec<HostObservation>)>,
     /// Whether edges route by what was agreed.
     pub drift: Drift,
     /// Edges as the others were told of them in whole, and when all were last.
@@ -227,8 +227,8 @@
             told: 0,
             beaten: 0,
             drift: Drift::new(lag),
-            board: Board::default(),
-            tally: Tally::default(),
+            board: LoadBoard::default(),
+            tally: OutlierDetector::default(),
             met: BTreeMap::new(),
             gossiped: BTreeMap::new(),
             retold: 0,
@@ -340,7 +340,7 @@
         if role == Role::Leader && self.role != Role::Leader {
             event!(Leads, "term {}", self.member.term());
             self.trials.clear();
-            self.tally = Tally::default();
+            self.tally = OutlierDetector::default();
             self.lingers.clear();
             self.registry.lead(now, &self.view, &Core::cold_for(&self.view));
         }
@@ -407,7 +407,7 @@
                 Peer::ViewDigest(index, digest) => core.view_digest(now, from, index, &digest),
                 Peer::Observed(told) => {
                     for (edge, ago, observed) in told {
-                        core.board.take(now, &observed, ago);
+                        core.board.record(now, &observed, ago);
                         core.suspect(now, edge, &observed, ago);
                     }
                 }
--- a/crates/control-plane/src/core/evidence.rs
+++ b/crates/control-plane/src/core/evidence.rs
@@ -4,7 +4,7 @@
 use milletwing_config::event;
 use milletwing_consensus::{Id, Role};
 use milletwing_drift_detection::{Digest, Finding, Names, Order};
-use milletwing_outlier_detection::{key, Known, Move, Observed};
+use milletwing_outlier_detection::{host_key, HostAction, HostObservation, KnownHost};
 use milletwing_replicated_state::{Command, EdgeStatus};
 use milletwing_wire::{frame, EdgeReport, Peer, ToEdge};
 use std::rc::Rc;
@@ -57,38 +57,39 @@
     }
 
     /// What an edge met, as evidence on hosts: where this machine leads.
-    pub(super) fn suspect(&mut self, now: Time, edge: u32, observed: &[Observed], ago: Time) {
+    pub(super) fn suspect(&mut self, now: Time, edge: u32, observed: &[HostObservation], ago: Time) {
         if self.role == Role::Leader {
             let zone = self.registry.edges(now).find(|(it, _)| it.id == edge).map(|(it, _)| it.zone.clone());
-            self.tally.take(now, edge, &zone.unwrap_or_default(), observed, ago);
+            self.tally.record(now, edge, &zone.unwrap_or_default(), observed, ago);
         }
     }
 
     /// What follows for hosts that edges find gone.
     pub(super) fn suspects(&mut self, now: Time) -> Vec<Command> {
-        let known: Vec<Known> = self
+        let known: Vec<KnownHost> = self
             .view
             .nodes
             .values()
             .map(|node| {
                 let (open, new) = self.view.standing(node);
-                let (host, service) = (key(&node.id), node.target.clone());
+                let (host, service) = (host_key(&node.id), node.target.clone());
                 let warm = node.phase == milletwing_replicated_state::Phase::Warm;
-                Known {
+                KnownHost {
                     host,
                     service,
-                    open: open && !new && warm,
-                    out: self.view.suspected.contains_key(&node.id),
+                    ejectable: open && !new && warm,
+                    ejected: self.view.suspected.contains_key(&node.id),
                 }
             })
             .collect();
-        let id = |host: u32| self.view.nodes.keys().find(|id| key(id) == host).cloned().unwrap_or_default();
-        let moves = self.tally.step(now, &known).into_iter();
+        let id =
+            |host: u32| self.view.nodes.keys().find(|id| host_key(id) == host).cloned().unwrap_or_default();
+        let moves = self.tally.decide(now, &known).into_iter();
         moves
             .map(|it| match it {
-                Move::Out(host) => Command::Suspect { id: id(host), looks: Vec::new() },
-                Move::Look(host, looks) => Command::Suspect { id: id(host), looks },
-                Move::Back(host) => Command::Trust { id: id(host) },
+                HostAction::Eject(host) => Command::Suspect { id: id(host), looks: Vec::new() },
+                HostAction::Retest(host, looks) => Command::Suspect { id: id(host), looks },
+                HostAction::Restore(host) => Command::Trust { id: id(host) },
             })
             .collect()
     }
@@ -99,7 +100,7 @@
         let name = |edge: &u32| std::net::Ipv4Addr::from_bits(*edge).to_string();
         let hosts = self.view.nodes.values().filter_map(|node| {
             let looks = self.view.suspected.get(&node.id);
-            let (by, answered) = self.tally.tell(now, key(&node.id));
+            let (by, answered) = self.tally.evidence(now, host_key(&node.id));
             (looks.is_some() || !by.is_empty()).then(|| {
                 serde_json::json!({"marshal": node.id, "service": node.target, "zone": node.zone,
                     "out": looks.is_some(), "lookedAtBy": looks.into_iter().flatten().map(name).collect::<Vec<_>>(),
@@ -139,11 +140,11 @@
     }
 
     /// What an edge of this machine met at hosts.
-    pub(super) fn observed(&mut self, now: Time, edge: &EdgeStatus, observed: Vec<Observed>) {
+    pub(super) fn observed(&mut self, now: Time, edge: &EdgeStatus, observed: Vec<HostObservation>) {
         if observed.is_empty() {
             return;
         }
-        self.board.take(now, &observed, 0);
+        self.board.record(now, &observed, 0);
         self.suspect(now, edge.id, &observed, 0);
         let (_, at, met) = self.met.entry(edge.id).or_insert((edge.life, now, Vec::new()));
         *at = now;
--- a/crates/control-plane/src/core/rollouts.rs
+++ b/crates/control-plane/src/core/rollouts.rs
@@ -3,7 +3,9 @@
 use super::{Core, Judged, Time};
 use milletwing_consensus::Role;
 use milletwing_replicated_state::{Command, RollOut, State};
-use milletwing_sequential_test::{self as sequential_test, cap, latest, pace, Report, LAST};
+use milletwing_sequential_test::{
+    self as sequential_test, latest_advance, min_stage_duration, stage_cap, TrialReport, FINAL_STAGE,
+};
 use milletwing_wire::Peer;
 
 impl Core {
@@ -23,9 +25,9 @@
                 begun: now,
                 started: now,
                 nodes: 0,
-                tally: sequential_test::Tally::new(now, roll.stage),
+                tally: sequential_test::TrialTally::new(now, roll.stage),
             });
-            trial.tally.moved(now, roll.stage);
+            trial.tally.set_stage(now, roll.stage);
             let nodes = self
                 .view
                 .nodes
@@ -38,18 +40,18 @@
             // One that nothing has moved to its end by the end of its time goes back, doubtful ones among them.
             let end = trial.begun + roll.period_ms * 19 / 20;
             let over = now >= end;
-            let pace = pace(roll.period_ms);
-            let latest = latest(roll.stage, end, pace);
-            let step = if nodes == 0 { None } else { trial.tally.step(now, trial.started, pace, latest) };
+            let pace = min_stage_duration(roll.period_ms);
+            let latest = latest_advance(roll.stage, end, pace);
+            let step = if nodes == 0 { None } else { trial.tally.decide(now, trial.started, pace, latest) };
             let number = roll.number;
             out.extend(match (step, over) {
-                (Some(sequential_test::Move::On), _) if roll.stage >= LAST => {
+                (Some(sequential_test::TrialDecision::Advance), _) if roll.stage >= FINAL_STAGE => {
                     Some(Command::Settle { service, number, good: true })
                 }
-                (Some(sequential_test::Move::Back), _) | (None, true) => {
+                (Some(sequential_test::TrialDecision::RollBack), _) | (None, true) => {
                     Some(Command::Settle { service, number, good: false })
                 }
-                (Some(sequential_test::Move::On), _) => {
+                (Some(sequential_test::TrialDecision::Advance), _) => {
                     Some(Command::Stage { service, number, stage: roll.stage + 1 })
                 }
                 (None, false) => None,
@@ -61,7 +63,7 @@
     /// The evidence on a trial in words, where this machine leads.
     pub(super) fn evidence(&self, number: u64) -> String {
         let judged = self.trials.get(&number).filter(|_| self.role == Role::Leader);
-        judged.map(|judged| format!(", {}", judged.tally.tell())).unwrap_or_default()
+        judged.map(|judged| format!(", {}", judged.tally.summary())).unwrap_or_default()
     }
 
     /// The trials under way, and the ends of earlier ones; evidence and votes where this machine leads.
@@ -69,19 +71,19 @@
         let rows = self.view.rollouts.iter().map(|(service, roll)| {
             let judged = self.trials.get(&roll.number).filter(|_| self.role == Role::Leader);
             serde_json::json!({"service": service, "to": roll.to, "state": roll.state.word(), "stage": roll.stage,
-                "cap": cap(roll.stage, self.settings.timers.guarantees.exposureShare),
-                "evidence": judged.map(|judged| judged.tally.tell())})
+                "cap": stage_cap(roll.stage, self.settings.timers.guarantees.exposureShare),
+                "evidence": judged.map(|judged| judged.tally.summary())})
         });
         serde_json::json!({"leads": self.role == Role::Leader, "trials": rows.collect::<Vec<_>>()})
     }
 
     /// What an edge tells of the trials: to whoever leads.
-    pub fn reports(&mut self, edge: u32, life: u64, reports: Vec<Report>) {
+    pub fn reports(&mut self, edge: u32, life: u64, reports: Vec<TrialReport>) {
         let now = self.now();
         if self.role == Role::Leader {
             for report in reports {
                 if let Some(trial) = self.trials.get_mut(&report.number) {
-                    trial.tally.report(now, edge, life, report);
+                    trial.tally.record_report(now, edge, life, report);
                 }
             }
         } else if let Some(leader) = self.leader {
--- a/crates/control-plane/src/core/subscriptions.rs
+++ b/crates/control-plane/src/core/subscriptions.rs
@@ -65,7 +65,7 @@
     /// What all edges here are told five times a second: made once, and left out where something still waits before it, so
     /// that a word is never old when it arrives.
     pub(super) fn pulse(&mut self, now: Time) {
-        let loads = self.board.news(now);
+        let loads = self.board.take_updates(now);
         self.drift.reflect(now, &self.view);
         let bytes = Rc::new(frame(&self.pulsed(now, loads)));
         for feed in self.feeds.values() {
--- a/crates/control-plane/src/drift.rs
+++ b/crates/control-plane/src/drift.rs
@@ -6,8 +6,8 @@
     Checker, Digest, Finding, Names, Order, Part, Reflection, Repairer, Sample,
 };
 use milletwing_replicated_state::View;
-use milletwing_routing::intent;
-use milletwing_routing::table::Table;
+use milletwing_routing::expected_state;
+use milletwing_routing::table::RouteTable;
 use milletwing_routing::tenants::Salt;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -36,7 +36,7 @@
     pub checker: Checker,
     pub repairer: Repairer,
     /// Routes as they are looked up, of the configuration in force.
-    table: (Option<Arc<Configuration>>, Table),
+    table: (Option<Arc<Configuration>>, RouteTable),
     samples: VecDeque<Decision>,
     /// Decisions checked, and those that were not as agreed.
     decided: (u64, u64),
@@ -53,7 +53,7 @@
         Drift {
             checker: Checker::new(lag),
             repairer: Repairer::default(),
-            table: (None, Table::default()),
+            table: (None, RouteTable::default()),
             samples: VecDeque::new(),
             decided: (0, 0),
             named: BTreeMap::new(),
@@ -65,7 +65,7 @@
     fn follow(&mut self, view: &View) {
         let Some(configuration) = view.configuration() else { return };
         if self.table.0.as_ref().is_none_or(|of| !Arc::ptr_eq(of, configuration)) {
-            self.table = (Some(Arc::clone(configuration)), Table::new(configuration, Salt::default()));
+            self.table = (Some(Arc::clone(configuration)), RouteTable::new(configuration, Salt::default()));
         }
     }
 
@@ -76,8 +76,8 @@
         }
         self.follow(view);
         let mut digest = Digest::default();
-        self.table.1.reflect(&mut digest);
-        intent::core(view, &mut digest);
+        self.table.1.export_state(&mut digest);
+        expected_state::export_shared(view, &mut digest);
         self.checker.own(now, view.index, digest);
     }
 
@@ -105,7 +105,7 @@
                     // Who may send what to a cold marshal is known as of the last entry only.
                     return wanted.like(&reflection.digest, Part::Deals);
                 }
-                intent::deals(view, edge, &mut wanted);
+                expected_state::export_cold_limits(view, edge, &mut wanted);
                 wanted
             });
             out.push(self.checker.check(now, edge, reflection, wanted, fresh));
@@ -136,7 +136,9 @@
             (Some(route), _) if route.name != sample.route => {
                 Some(format!("route {} for {}", sample.route, route.name))
             }
-            (Some(route), _) if !route.shares.iter().any(|(service, _)| **service == *sample.service) => {
+            (Some(route), _)
+                if !route.cumulative_shares.iter().any(|(service, _)| **service == *sample.service) =>
+            {
                 Some(format!("service {} on route {}", sample.service, route.name))
             }
             (Some(_), Some(node)) if node.target != sample.service => {
@@ -153,9 +155,9 @@
     pub fn compare(&mut self, view: &View, edge: u32, names: &Names) -> Vec<String> {
         self.follow(view);
         let mut wanted = Names::default();
-        self.table.1.reflect(&mut wanted);
-        intent::core(view, &mut wanted);
-        intent::deals(view, edge, &mut wanted);
+        self.table.1.export_state(&mut wanted);
+        expected_state::export_shared(view, &mut wanted);
+        expected_state::export_cold_limits(view, edge, &mut wanted);
         wanted.against(names, NAMED)
     }
 
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -14,7 +14,7 @@
 use crate::state::{Attempt, Calls, Cast, Ended, Flow, Heard, Node, Request, Step, Together, Trial};
 pub use milletwing_sequential_test::adjusted_test;
 use milletwing_sequential_test::{
-    Sums, COIN, COVARIATE_SPAN, HOLD_P, LEAST, LEAST_HARM, LEVEL, LOOKS, UNSCORED,
+    Sums, ALPHA, BURN_IN, COVARIATE_WINDOW, FILL, HOLD_P, LOOKS, MIN_EFFECT, MIN_N,
 };
 use statrs::distribution::{Binomial, DiscreteCDF};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -80,12 +80,12 @@
         let (all, back) = (u64::from(set.marshals.max(1)), u64::from(set.back_votes.max(1)));
         let (all, back) = if set.shared { (1, 1) } else { (all, back) }; // one verdict of all errs as one
         let err = |level: f64| Binomial::new(level, all).map_or(1.0, |law| law.sf(back - 1));
-        let level = (1..50).map(|i| f64::from(i) * 0.01).take_while(|&level| err(level) <= LEVEL).last();
-        let level_back = LEVEL.max(level.unwrap_or(0.0) * 0.5);
-        let strict = level_back.ln() / LEVEL.ln();
+        let level = (1..50).map(|i| f64::from(i) * 0.01).take_while(|&level| err(level) <= ALPHA).last();
+        let level_back = ALPHA.max(level.unwrap_or(0.0) * 0.5);
+        let strict = level_back.ln() / ALPHA.ln();
         let turn = Ms(1000.0 * f64::from(set.marshals) / set.calls_per_s.max(0.1));
         Marshal {
-            bars: (level_back, (LEAST * strict).ceil(), SLOW_MEANS * strict, LEAST_HARM / strict.powi(2)),
+            bars: (level_back, (MIN_N * strict).ceil(), SLOW_MEANS * strict, MIN_EFFECT / strict.powi(2)),
             dice: Dice::new(seed),
             flow: Flow::new(classes, RETRY_MOST),
             heard: Heard { earlier: vec![VecDeque::new(); classes], ..Heard::default() },
--- a/crates/decision/src/policy/evidence.rs
+++ b/crates/decision/src/policy/evidence.rs
@@ -22,7 +22,7 @@
     /// The covariate: the earlier build's mean score for the class just before the send (page).
     pub(super) fn covariate(&mut self, class: ClassId) -> f64 {
         let lane = &mut self.heard.earlier[class.0];
-        while lane.front().is_some_and(|&(at, _)| at < self.now - Ms(COVARIATE_SPAN as f64)) {
+        while lane.front().is_some_and(|&(at, _)| at < self.now - Ms(COVARIATE_WINDOW as f64)) {
             lane.pop_front();
         }
         lane.iter().map(|&(_, score)| score).sum::<f64>() / (lane.len() as f64).max(1.0)
@@ -86,8 +86,8 @@
         node.errors += 1;
         let build = node.entry.build;
         let (new, newest) = (self.on_trial(build).is_some(), self.is_newest(build));
-        self.trial.sums[class.0][usize::from(new)].flip();
-        self.after[class.0][usize::from(newest)].flip();
+        self.trial.sums[class.0][usize::from(new)].fail_one();
+        self.after[class.0][usize::from(newest)].fail_one();
     }
 
     /// What this instance has seen of the stage.
@@ -168,7 +168,7 @@
         // bad machines among the new are no bad build: it must have three times the errors of the others.
         let (told, alone) = (self.told.excess(), self.set.shared || self.set.back_votes <= 1);
         let harm = told.score > 2.0 && told.surplus > (self.bars.3 * told.units).max(told.score / 1.5);
-        if harm && !alone && told.p() < LEVEL * 0.1 {
+        if harm && !alone && told.p() < ALPHA * 0.1 {
             self.condemn(seen.build, "by the platform's counts", told.p(), out);
         }
         // As many as could vote it back alone; where judging is not shared, nobody objects but by voting.
@@ -180,14 +180,14 @@
     /// Harm that slows every server leaves no difference, but rises with the dose: answer times regressed on
     /// the build's share of our attempts. Could harm where a shared trouble sets in as a stage moves on.
     fn in_step(&mut self, build: Build, out: &mut Vec<Action>) {
-        self.step.sums.fade(FADE);
+        self.step.sums.scale(FADE);
         self.step.sums.add(self.step.level.max(1e-3).ln(), self.step.dose);
         let (xx, yy, xy) = self.step.sums.centred();
         let fit = if xx > 1e-9 && yy > 1e-9 && xy > 0.0 { xy * xy / (xx * yy) } else { 0.0 };
         let released = self.news.as_ref().is_some_and(|n| n.phase == Phase::Released);
         let collapse = !released || (self.step.missed >= 0.5 && fit >= STEP_FIT_LATE);
         // Milder signs from each, as for a look, where earlier machines stay and can't be what is missed.
-        let ease = if self.set.side_by_side { 0.65 + 0.35 * self.bars.1 / LEAST } else { 1.0 };
+        let ease = if self.set.side_by_side { 0.65 + 0.35 * self.bars.1 / MIN_N } else { 1.0 };
         let signs = (fit / STEP_FIT).min(self.step.level.ln() / STEP_LEVEL.ln());
         let harm = signs >= ease && xx / self.step.sums.n > STEP_SPREAD;
         self.step.beats = if harm && collapse { self.step.beats + 1 } else { 0 };
--- a/crates/decision/src/policy/pick.rs
+++ b/crates/decision/src/policy/pick.rs
@@ -21,7 +21,7 @@
         let even = self.warm[0] / self.warm[1].max(1.0);
         let trial = |n: &&StageNews| n.phase == Phase::Trial && !self.condemned.contains(&n.build);
         let coin =
-            self.news.as_ref().filter(trial).map_or(0.0, |n| (COIN * self.granted(n.build, n.cap)).min(even));
+            self.news.as_ref().filter(trial).map_or(0.0, |n| (FILL * self.granted(n.build, n.cap)).min(even));
         let heads = self.dice.part() < coin;
         let stays = request.key.as_ref().is_some_and(|key| self.moved.contains(key));
         let trial = self.sides[1][1].first().map(|id| self.nodes[id].entry.build);
--- a/crates/decision/src/policy/requests.rs
+++ b/crates/decision/src/policy/requests.rs
@@ -38,7 +38,7 @@
         if repeatable && request.tries == 0 && split.0 < class.aim.0 * 0.75 {
             until = until.min(self.now + split);
         }
-        let (covariate, unscored) = (self.covariate(request.class), Ms(UNSCORED as f64).max(self.set.cold));
+        let (covariate, unscored) = (self.covariate(request.class), Ms(BURN_IN as f64).max(self.set.cold));
         let entry = &self.nodes[&node].entry;
         let build = entry.build;
         let attempt = Attempt {
--- a/crates/edge-proxy/src/attempt.rs
+++ b/crates/edge-proxy/src/attempt.rs
@@ -12,7 +12,7 @@
 use hyper::{Request, Response, Uri, Version};
 use milletwing_config::event;
 use milletwing_routing::table::Route;
-use milletwing_routing::{Load, Result as Ended, Sending, Time};
+use milletwing_routing::{Attempt, AttemptOutcome, Load, Time};
 use std::error::Error;
 use std::rc::Rc;
 use std::time::Duration;
@@ -46,12 +46,12 @@
 /// A sending that is out: dropped with it, the marshal is free again.
 pub struct Guard {
     edge: Rc<Edge>,
-    sending: Option<Sending>,
+    sending: Option<Attempt>,
 }
 
 impl Guard {
     /// The sending has ended, and its end is told otherwise.
-    pub fn disarm(mut self) -> Sending {
+    pub fn disarm(mut self) -> Attempt {
         self.sending.take().unwrap_or_else(|| unreachable!("a guard is disarmed once"))
     }
 }
@@ -59,7 +59,7 @@
 impl Drop for Guard {
     fn drop(&mut self) {
         if let Some(sending) = &self.sending {
-            self.edge.router.borrow_mut().dropped(self.edge.now(), sending);
+            self.edge.router.borrow_mut().cancel_attempt(self.edge.now(), sending);
         }
     }
 }
@@ -67,7 +67,7 @@
 /// How a sending ended.
 pub struct Done {
     pub guard: Guard,
-    pub result: Ended,
+    pub result: AttemptOutcome,
     pub load: Option<Load>,
     pub answer: Option<Answer>,
 }
@@ -86,7 +86,7 @@
     edge: &Rc<Edge>,
     parts: &Parts,
     source: &mut Source,
-    sending: Sending,
+    sending: Attempt,
     deadline: Time,
     id: &'a str,
 ) -> impl std::future::Future<Output = Done> + 'a {
@@ -112,10 +112,10 @@
                 match tokio::time::timeout(within, asking).await {
                     Ok(Ok((result, answer))) => (result, Some(answer)),
                     Ok(Err(result)) => (result, None),
-                    Err(_) => (Ended::Silent, None),
+                    Err(_) => (AttemptOutcome::TimedOut, None),
                 }
             }
-            _ => (Ended::Unsent, None),
+            _ => (AttemptOutcome::NotSent, None),
         };
         Done { guard, result, load, answer }
     }
@@ -124,18 +124,18 @@
 /// Sends a request on a connection, and checks the answer's head and beginning.
 async fn ask(
     edge: &Rc<Edge>,
-    sending: &Sending,
+    sending: &Attempt,
     mut request: Request<Carry>,
     deadline: Time,
     id: &str,
     load: &mut Option<Load>,
-) -> Result<(Ended, Answer), Ended> {
+) -> Result<(AttemptOutcome, Answer), AttemptOutcome> {
     let mut fresh = false;
     let (mut lease, response) = loop {
         let lease = edge.pool.lease(sending, fresh).await;
         let mut lease = lease.map_err(|why| match why {
-            NoLease::Unreached => Ended::Unreached,
-            NoLease::Busy => Ended::Unsent,
+            NoLease::Unreached => AttemptOutcome::ConnectFailed,
+            NoLease::Busy => AttemptOutcome::NotSent,
         })?;
         let remaining = edge.time_to_work(deadline);
         request.headers_mut().insert(REMAINING, HeaderValue::from(remaining));
@@ -145,7 +145,7 @@
                 fresh = true;
                 continue;
             }
-            return Err(Ended::Unreached);
+            return Err(AttemptOutcome::ConnectFailed);
         }
         match lease.sender.try_send_request(request).await {
             Ok(response) => break (lease, response),
@@ -155,25 +155,25 @@
                     request = back;
                     fresh = true;
                 }
-                Some(_) => return Err(Ended::Unreached),
+                Some(_) => return Err(AttemptOutcome::ConnectFailed),
                 None => {
                     event!(ConnectionBroken, "{id} at {}: {}", sending.id, root_cause(problem.error()));
-                    return Err(Ended::Broken);
+                    return Err(AttemptOutcome::ConnectionBroken);
                 }
             },
         }
     };
     let (parts, body) = response.into_parts();
     let headers = &parts.headers;
-    *load = headers.get(LOAD).and_then(|value| Load::read(value.to_str().ok()?));
+    *load = headers.get(LOAD).and_then(|value| Load::parse(value.to_str().ok()?));
     let own = headers.get(ATTEMPT).map(|echo| echo.as_bytes() == id.as_bytes());
     let refused = headers.contains_key(NOT_EXECUTED);
     if own == Some(false) || (own.is_none() && !refused && parts.status != 421) {
-        return Err(Ended::Broken); // another request's answer, or bytes that belong to none
+        return Err(AttemptOutcome::ConnectionBroken); // another request's answer, or bytes that belong to none
     }
     lease.unread.answered();
     if parts.status == 421 {
-        return Err(Ended::Moved);
+        return Err(AttemptOutcome::WrongInstance);
     }
     if refused && parts.status != 400 {
         // The connection may be used again once the rest has come.
@@ -183,18 +183,18 @@
             lease.used = true;
             edge.pool.give_back(lease, keep);
         }
-        return Err(Ended::TurnedAway);
+        return Err(AttemptOutcome::Rejected);
     }
     let exact = body.size_hint().exact();
     // An answer without a length ends with its connection: one that is reset is an error of the body, not its end.
     let framed = exact.is_some() || headers.contains_key(header::TRANSFER_ENCODING);
     let sealed = headers.contains_key(SEAL) || !parts.status.is_success();
     if headers.contains_key(header::CONTENT_ENCODING) || !sealed {
-        return Err(Ended::Broken); // not the marshal's bytes
+        return Err(AttemptOutcome::ConnectionBroken); // not the marshal's bytes
     }
     let keep = if closes(headers) || !framed { Some(Duration::ZERO) } else { told_keep_alive(headers) };
-    let result = if parts.status.is_server_error() { Ended::Failed } else { Ended::Served };
-    let body = gather(body).await.map_err(|_: Cut| Ended::Broken)?;
+    let result = if parts.status.is_server_error() { AttemptOutcome::Failed } else { AttemptOutcome::Served };
+    let body = gather(body).await.map_err(|_: Cut| AttemptOutcome::ConnectionBroken)?;
     let response = Response::from_parts(parts, ());
     Ok((result, Answer { response, body, lease, keep, exact }))
 }
@@ -219,7 +219,7 @@
     let out = match body.rest {
         None => {
             let bytes = join(body.head);
-            edge.router.borrow_mut().weighed(route, bytes.len() as u64);
+            edge.router.borrow_mut().record_response_size(route, bytes.len() as u64);
             edge.pool.give_back(lease, keep);
             Out::Whole((!bytes.is_empty()).then_some(bytes))
         }
@@ -227,7 +227,7 @@
             let (noting, route) = (Rc::clone(edge), Rc::clone(route));
             let at_end = move |whole: bool| {
                 if let (true, Some(exact)) = (whole, exact) {
-                    noting.router.borrow_mut().weighed(&route, exact);
+                    noting.router.borrow_mut().record_response_size(&route, exact);
                 }
             };
             Out::Stream(Box::new(Streamed {
--- a/crates/edge-proxy/src/edge.rs
+++ b/crates/edge-proxy/src/edge.rs
@@ -5,7 +5,7 @@
 use milletwing_config::{event, Settings};
 use milletwing_drift_detection::{Digest, Reflection, Step};
 use milletwing_replicated_state::{EdgeStatus, View};
-use milletwing_routing::{Place, Router, Time};
+use milletwing_routing::{Location, Router, Time};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
 use tokio::sync::Notify;
@@ -60,11 +60,11 @@
 impl Edge {
     /// Knows nothing yet. `dial`: how marshals are reached.
     pub fn new(settings: Settings, ingress: SocketAddrV4, dial: Dial) -> std::rc::Rc<Edge> {
-        let place = Place {
+        let place = Location {
             id: settings.id(),
             zone: settings.own.zone.clone(),
             region: settings.own.region.clone(),
-            zones: settings.network.zones.clone(),
+            zone_regions: settings.network.zones.clone(),
         };
         let router = Router::new(place, settings.timers.guarantees.clone(), rand::random());
         std::rc::Rc::new(Edge {
@@ -98,7 +98,7 @@
 
     /// Whether clients should come.
     pub fn ready(&self) -> bool {
-        self.leaving.get().is_none() && !self.resting.get() && self.router.borrow().ready()
+        self.leaving.get().is_none() && !self.resting.get() && self.router.borrow().has_configuration()
     }
 
     /// What the core is told.
@@ -146,7 +146,7 @@
         }
         self.reflected.set(now);
         let mut digest = Digest::default();
-        self.router.borrow().reflect(&mut digest);
+        self.router.borrow().export_state(&mut digest);
         self.reflection.set(Some(Reflection { index: self.view.borrow().index, digest }));
     }
 
@@ -167,7 +167,7 @@
     /// The whole view has come anew: all tables are made from it.
     pub fn renew(&self) {
         event!(Repairs, "{}", Step::Renew.word());
-        self.router.borrow_mut().renew(self.now(), &self.view.borrow());
+        self.router.borrow_mut().rebuild(self.now(), &self.view.borrow());
         self.reflected.set(0);
         self.refresh();
     }
@@ -180,7 +180,7 @@
             event!(Configured, "revision {revision}");
         }
         self.router.borrow_mut().refresh(self.now(), &self.view.borrow());
-        self.pool.forget(|marshal| self.router.borrow().knows(marshal));
+        self.pool.forget(|marshal| self.router.borrow().contains_marshal(marshal));
         if self.ready() != was {
             self.changed.notify_waiters();
         }
--- a/crates/edge-proxy/src/feed.rs
+++ b/crates/edge-proxy/src/feed.rs
@@ -93,12 +93,12 @@
             let pause = if trials { BEAT.0 / 3 } else { BEAT.1 };
             let changed = tokio::time::timeout(pause, beating.changed.notified()).await.is_ok();
             let now = beating.now();
-            let reports = beating.router.borrow_mut().reports(now);
-            let observed = beating.router.borrow_mut().observed(MOST_OBSERVED);
+            let reports = beating.router.borrow_mut().trial_reports(now);
+            let observed = beating.router.borrow_mut().take_observations(MOST_OBSERVED);
             trials = !reports.is_empty();
             // With nothing to tell, every second one is enough to say that it lives.
             let reflection = beating.reflection.take();
-            let sample = beating.router.borrow_mut().sample();
+            let sample = beating.router.borrow_mut().take_sample();
             let news = !observed.is_empty() || reflection.is_some() || beating.asked.get();
             idle = if changed || trials || news { 0 } else { idle + 1 };
             if idle % 2 == 1 {
@@ -109,7 +109,7 @@
             let mut bytes = frame(&FromEdge::Beat(Box::new(said)));
             if beating.asked.replace(false) {
                 let mut names = Names::default();
-                beating.router.borrow().reflect(&mut names);
+                beating.router.borrow().export_state(&mut names);
                 bytes.extend(frame(&FromEdge::Names(names)));
             }
             if write.write_all(&bytes).await.is_err() {
@@ -166,7 +166,7 @@
                 }
                 if now && !behind {
                     fresh = Instant::now();
-                    edge.router.borrow_mut().heard(edge.now());
+                    edge.router.borrow_mut().core_heard(edge.now());
                     if !said {
                         said = true;
                         event!(FeedUp, "as of entry {index}");
@@ -178,8 +178,8 @@
                 let now = edge.now();
                 {
                     let router = &mut *edge.router.borrow_mut();
-                    router.edges(edges);
-                    router.loads(now, &loads, SHARED);
+                    router.set_edge_count(edges);
+                    router.apply_shared_loads(now, &loads, SHARED);
                 }
                 // The core has made its own digest as of this entry.
                 if index == edge.view.borrow().index {
--- a/crates/edge-proxy/src/metrics.rs
+++ b/crates/edge-proxy/src/metrics.rs
@@ -3,7 +3,7 @@
 use milletwing_config::configuration::Class;
 use milletwing_config::Kind;
 use milletwing_metrics::{exponential_buckets, Histogram};
-use milletwing_routing::Result as TryResult;
+use milletwing_routing::AttemptOutcome;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -48,7 +48,7 @@
     }
 
     /// One sending of a request ended.
-    pub fn try_ended(&self, result: TryResult) {
+    pub fn try_ended(&self, result: AttemptOutcome) {
         *self.tries.borrow_mut().entry(try_label(result)).or_default() += 1;
     }
 }
@@ -83,16 +83,16 @@
     }
 }
 
-fn try_label(result: TryResult) -> &'static str {
+fn try_label(result: AttemptOutcome) -> &'static str {
     match result {
-        TryResult::Served => "served",
-        TryResult::Failed => "failed",
-        TryResult::TurnedAway => "turned_away",
-        TryResult::Moved => "moved",
-        TryResult::Unreached => "unreached",
-        TryResult::Unsent => "unsent",
-        TryResult::Broken => "broken",
-        TryResult::Silent => "silent",
-        TryResult::Dropped => "dropped",
+        AttemptOutcome::Served => "served",
+        AttemptOutcome::Failed => "failed",
+        AttemptOutcome::Rejected => "turned_away",
+        AttemptOutcome::WrongInstance => "moved",
+        AttemptOutcome::ConnectFailed => "unreached",
+        AttemptOutcome::NotSent => "unsent",
+        AttemptOutcome::ConnectionBroken => "broken",
+        AttemptOutcome::TimedOut => "silent",
+        AttemptOutcome::Cancelled => "dropped",
     }
 }
--- a/crates/edge-proxy/src/metrics_page.rs
+++ b/crates/edge-proxy/src/metrics_page.rs
@@ -31,7 +31,7 @@
     let view = edge.view.borrow();
     page.gauge("configuration_revision", "Version of the configuration in force", view.revision as f64);
     page.gauge("folded_index", "Last entry of the core's log that is in force", view.index as f64);
-    let since = edge.router.borrow().silence_of_core(edge.now());
+    let since = edge.router.borrow().time_since_core_contact(edge.now());
     page.gauge("core_silence_seconds", "Since the core was heard last", since as f64 / 1_000.0);
     let mut phases = BTreeMap::from([("warm", 0_u64), ("cold", 0), ("draining", 0), ("ejected", 0)]);
     for node in view.nodes.values() {
--- a/crates/edge-proxy/src/pool.rs
+++ b/crates/edge-proxy/src/pool.rs
@@ -8,7 +8,7 @@
 use hashbrown::HashMap;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
-use milletwing_routing::Sending;
+use milletwing_routing::Attempt;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -89,18 +89,18 @@
     }
 
     /// A connection to a marshal. `fresh`: a new one.
-    pub async fn lease(&self, sending: &Sending, fresh: bool) -> Result<Lease, NoLease> {
+    pub async fn lease(&self, sending: &Attempt, fresh: bool) -> Result<Lease, NoLease> {
         let open = {
             let mut hosts = self.hosts.borrow_mut();
-            let host = hosts.entry(sending.marshal).or_default();
+            let host = hosts.entry(sending.marshal_key).or_default();
             let now = Instant::now();
             while let Some(idle) = host.idle.pop() {
                 if !fresh && now < idle.until && idle.sender.is_ready() {
                     let Idle { sender, unread, .. } = idle;
-                    return Ok(Lease { sender, marshal: sending.marshal, unread, used: true });
+                    return Ok(Lease { sender, marshal: sending.marshal_key, unread, used: true });
                 }
             }
-            if host.open.get() >= sending.connections {
+            if host.open.get() >= sending.max_connections {
                 return Err(NoLease::Busy);
             }
             host.open.set(host.open.get() + 1);
@@ -118,7 +118,7 @@
             let _ = connection.await; // whoever uses it hears of its end
             drop(count);
         });
-        Ok(Lease { sender, marshal: sending.marshal, unread, used: false })
+        Ok(Lease { sender, marshal: sending.marshal_key, unread, used: false })
     }
 
     /// A connection whose answer has ended whole. `keep`: for how long its marshal says that it keeps it.
--- a/crates/edge-proxy/src/probes.rs
+++ b/crates/edge-proxy/src/probes.rs
@@ -21,12 +21,12 @@
 pub async fn run(edge: Rc<Edge>) {
     loop {
         tokio::time::sleep(EVERY).await;
-        let due = edge.router.borrow_mut().probes(edge.now(), MOST);
+        let due = edge.router.borrow_mut().due_probes(edge.now(), MOST);
         for probe in due {
             let edge = Rc::clone(&edge);
             tokio::task::spawn_local(async move {
                 let warm = tokio::time::timeout(PATIENCE, ask(&edge, &probe)).await.unwrap_or(None);
-                edge.router.borrow_mut().probed(edge.now(), &probe, warm);
+                edge.router.borrow_mut().record_probe_result(edge.now(), &probe, warm);
             });
         }
     }
@@ -34,11 +34,11 @@
 
 /// Asks one marshal: warm, cold, or nothing that can be relied on.
 async fn ask(edge: &Rc<Edge>, probe: &Probe) -> Option<bool> {
-    let mut lease = edge.pool.lease(&probe.sending, false).await.ok()?;
+    let mut lease = edge.pool.lease(&probe.attempt, false).await.ok()?;
     lease.sender.ready().await.ok()?;
     let mut request = Request::new(Carry::Whole(None));
     *request.uri_mut() = probe.path.parse().ok()?;
-    let host = HeaderValue::from_str(&probe.sending.address.to_string()).ok()?;
+    let host = HeaderValue::from_str(&probe.attempt.address.to_string()).ok()?;
     request.headers_mut().insert(HOST, host);
     let response = lease.sender.send_request(request).await.ok()?;
     let (status, headers) = (response.status(), response.headers().clone());
@@ -46,7 +46,7 @@
     if body.rest.is_none() {
         edge.pool.give_back(lease, Some(Duration::ZERO));
     }
-    (status == StatusCode::OK).then(|| warm(&headers, &probe.sending.id))?
+    (status == StatusCode::OK).then(|| warm(&headers, &probe.attempt.id))?
 }
 
 /// What a health answer says of this life; nothing where it is another's.
--- a/crates/edge-proxy/src/relay.rs
+++ b/crates/edge-proxy/src/relay.rs
@@ -17,7 +17,7 @@
 use milletwing_config::configuration::Class;
 use milletwing_config::{event, Kind};
 use milletwing_routing::table::Route;
-use milletwing_routing::{Head, Result as Ended, Sending, Ticket};
+use milletwing_routing::{Attempt, AttemptOutcome, RequestHead, RoutedRequest};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -73,7 +73,7 @@
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     if answer.again {
         let elsewhere = matches!(kind, Kind::Leaving);
-        let wait = if elsewhere { ELSEWHERE_S } else { edge.router.borrow_mut().back(route) };
+        let wait = if elsewhere { ELSEWHERE_S } else { edge.router.borrow_mut().retry_after_seconds(route) };
         let wait = format!("{wait:.3}");
         if let Ok(wait) = HeaderValue::from_str(&wait) {
             headers.insert(header::RETRY_AFTER, wait);
@@ -93,7 +93,7 @@
 struct Prepared {
     parts: Parts,
     source: Source,
-    ticket: Ticket,
+    ticket: RoutedRequest,
     host: String,
     id: String,
 }
@@ -123,12 +123,21 @@
     let remaining = parts.headers.get(REMAINING).and_then(|left| left.to_str().ok()?.trim().parse().ok());
     let ticket = {
         let mut router = edge.router.borrow_mut();
-        let head = Head { host: &host, path: parts.uri.path(), remaining, key: key(&parts.headers) };
-        let ticket = router.arrive(edge.now(), head).map_err(|kind| refuse(kind, None))?;
+        let head = RequestHead {
+            host: &host,
+            path: parts.uri.path(),
+            remaining_ms: remaining,
+            api_key: key(&parts.headers),
+        };
+        let ticket = router.route_request(edge.now(), head).map_err(|kind| refuse(kind, None))?;
         // Before what is told of the tenant: a client may name that field as one of its connection.
         strip(&mut parts.headers);
         // At once, by the configuration that the request was let in by: while its body comes, another may take its place.
-        introduce(&mut parts.headers, ticket.tenant.as_ref().map(|tenant| &*tenant.name), router.keyed());
+        introduce(
+            &mut parts.headers,
+            ticket.tenant.as_ref().map(|tenant| &*tenant.name),
+            router.requires_keys(),
+        );
         ticket
     };
     let route = &ticket.route;
@@ -163,16 +172,22 @@
     exchange: &Rc<Exchange>,
 ) -> Result<(Response<Out>, Class), Refusal> {
     let mut prepared = prepare(edge, request, exchange).await?;
-    let first = edge.router.borrow_mut().pick(edge.now(), &mut prepared.ticket);
+    let first = edge.router.borrow_mut().start_attempt(edge.now(), &mut prepared.ticket);
     let first = first.map_err(|kind| prepared.refuse(kind))?;
     // Guards against taking what may not be done before this process ends.
-    let expected = edge.router.borrow().may_take(edge.now(), &prepared.ticket, &first);
+    let expected = edge.router.borrow().expected_duration_bound(edge.now(), &prepared.ticket, &first);
     if edge.too_late(expected) {
-        edge.router.borrow_mut().ended(edge.now(), &mut prepared.ticket, &first, Ended::Unsent, None);
+        edge.router.borrow_mut().finish_attempt(
+            edge.now(),
+            &mut prepared.ticket,
+            &first,
+            AttemptOutcome::NotSent,
+            None,
+        );
         return Err(prepared.refuse(Kind::Leaving));
     }
     let about = [prepared.id.as_str(), prepared.host.as_str(), prepared.parts.uri.path()];
-    edge.router.borrow_mut().note(edge.now(), about, &prepared.ticket, &first);
+    edge.router.borrow_mut().record_sample(edge.now(), about, &prepared.ticket, &first);
     try_marshals(edge, &mut prepared, first).await
 }
 
@@ -181,11 +196,11 @@
 async fn try_marshals(
     edge: &Rc<Edge>,
     prepared: &mut Prepared,
-    first: Sending,
+    first: Attempt,
 ) -> Result<(Response<Out>, Class), Refusal> {
     let (deadline, id) = (prepared.ticket.deadline, prepared.id.clone());
     let mut over = std::pin::pin!(tokio::time::sleep(left(edge, deadline)));
-    let patience = edge.router.borrow().patience(&prepared.ticket, &first);
+    let patience = edge.router.borrow().hedge_delay(&prepared.ticket, &first);
     let mut hedge = std::pin::pin!(tokio::time::sleep(Duration::from_millis(patience.unwrap_or(0))));
     let mut hedging = patience.is_some() && prepared.source.again();
     let mut running = FuturesUnordered::new();
@@ -196,15 +211,15 @@
             biased;
             Some(done) = running.next() => {
                 let (result, answer) = settle(edge, prepared, done);
-                if result == Ended::Served && answer.is_some() {
+                if result == AttemptOutcome::Served && answer.is_some() {
                     return end(edge, prepared, answer, Kind::Broken);
                 }
-                if prepared.source.again() && edge.router.borrow().again(edge.now(), &prepared.ticket, result) {
-                    let next = edge.router.borrow_mut().pick(edge.now(), &mut prepared.ticket);
+                if prepared.source.again() && edge.router.borrow().may_retry(edge.now(), &prepared.ticket, result) {
+                    let next = edge.router.borrow_mut().start_attempt(edge.now(), &mut prepared.ticket);
                     match next {
                         Ok(next) => {
                             // The timer of the sending that has ended says nothing of this one.
-                            let patience = edge.router.borrow().patience(&prepared.ticket, &next);
+                            let patience = edge.router.borrow().hedge_delay(&prepared.ticket, &next);
                             if let Some(patience) = patience {
                                 let until = tokio::time::Instant::now() + Duration::from_millis(patience);
                                 hedge.as_mut().reset(until);
@@ -225,8 +240,8 @@
             }
             _ = hedge.as_mut(), if hedging => {
                 hedging = false;
-                edge.router.borrow_mut().impatient(edge.now(), &waiting);
-                let next = edge.router.borrow_mut().pick(edge.now(), &mut prepared.ticket);
+                edge.router.borrow_mut().record_timeout(edge.now(), &waiting);
+                let next = edge.router.borrow_mut().start_attempt(edge.now(), &mut prepared.ticket);
                 if let Ok(next) = next {
                     running.push(send(edge, &prepared.parts, &mut prepared.source, next, deadline, &id));
                 }
@@ -237,17 +252,17 @@
 }
 
 /// Counts the end of a sending for the marshal, and gives what came of it.
-fn settle(edge: &Edge, prepared: &mut Prepared, done: Done) -> (Ended, Option<Answer>) {
+fn settle(edge: &Edge, prepared: &mut Prepared, done: Done) -> (AttemptOutcome, Option<Answer>) {
     let Done { guard, result, load, answer } = done;
     let sending = guard.disarm();
     let now = edge.now();
     edge.metrics.try_ended(result);
-    let avoided = edge.router.borrow_mut().ended(now, &mut prepared.ticket, &sending, result, load);
+    let avoided = edge.router.borrow_mut().finish_attempt(now, &mut prepared.ticket, &sending, result, load);
     if let Some(span) = avoided {
         event!(NodeAvoided, "{} for {span} ms: {result:?}", sending.id);
     }
-    if result != Ended::Served {
-        let took = now - sending.at;
+    if result != AttemptOutcome::Served {
+        let took = now - sending.started_at;
         event!(TryEnded, "{} at {}: {result:?} after {took} ms", prepared.id, sending.id);
     }
     (result, answer)
@@ -270,11 +285,11 @@
 }
 
 /// What a client is told where no marshal's answer can be.
-fn last_word(ticket: &Ticket, result: Ended) -> Kind {
+fn last_word(ticket: &RoutedRequest, result: AttemptOutcome) -> Kind {
     match result {
-        Ended::Silent => Kind::Silent,
-        _ if ticket.ran => Kind::Broken,
-        Ended::TurnedAway | Ended::Moved => Kind::TurnedAway,
+        AttemptOutcome::TimedOut => Kind::Silent,
+        _ if ticket.may_have_run => Kind::Broken,
+        AttemptOutcome::Rejected | AttemptOutcome::WrongInstance => Kind::TurnedAway,
         _ => Kind::NoMarshal,
     }
 }
--- a/crates/outlier-detection/src/board.rs
+++ b/crates/outlier-detection/src/board.rs
@@ -1,7 +1,7 @@
 //! The newest load of each host. An edge of a large fleet meets a host once in many seconds, so that what it was told itself
 //! is old; all edges together meet every host several times a second.
 
-use crate::{Observed, Time};
+use crate::{HostObservation, Time};
 use std::collections::BTreeMap;
 
 /// Hosts at most.
@@ -11,14 +11,14 @@
 
 /// Loads by host.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct LoadBoard {
     /// Load, when it was told, and whether edges have not heard of it yet.
     loads: BTreeMap<u32, (u16, Time, bool)>,
 }
 
-impl Board {
+impl LoadBoard {
     /// Takes what an edge met, so many milliseconds ago.
-    pub fn take(&mut self, now: Time, observed: &[Observed], ago: Time) {
+    pub fn record(&mut self, now: Time, observed: &[HostObservation], ago: Time) {
         let at = now.saturating_sub(ago);
         for observed in observed {
             let Some(load) = observed.load else { continue };
@@ -34,7 +34,7 @@
     }
 
     /// What is new since the last call.
-    pub fn news(&mut self, now: Time) -> Vec<(u32, u16)> {
+    pub fn take_updates(&mut self, now: Time) -> Vec<(u32, u16)> {
         self.loads.retain(|_, (_, at, _)| now.saturating_sub(*at) < OLD);
         let fresh = self.loads.iter_mut().filter(|(_, (_, _, fresh))| *fresh);
         fresh
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -5,9 +5,9 @@
 pub mod observed;
 pub mod tally;
 
-pub use board::Board;
-pub use observed::{key, Observed};
-pub use tally::{Known, Move, Tally};
+pub use board::LoadBoard;
+pub use observed::{host_key, HostObservation};
+pub use tally::{HostAction, KnownHost, OutlierDetector};
 
 /// Milliseconds of a steady clock that is the user's.
 pub type Time = u64;
--- a/crates/outlier-detection/src/tally.rs
+++ b/crates/outlier-detection/src/tally.rs
@@ -2,7 +2,7 @@
 //! found it gone, from two zones where edges stand in two, and none may have had an answer from it since. Decisions are the
 //! core's entries; here is what they follow from.
 
-use crate::{Observed, Time};
+use crate::{HostObservation, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Edges that must have found a host gone.
@@ -44,38 +44,38 @@
 
 /// What follows for a host.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Move {
+pub enum HostAction {
     /// It is taken out.
-    Out(u32),
+    Eject(u32),
     /// These edges look at it, with repeatable requests.
-    Look(u32, Vec<u32>),
+    Retest(u32, Vec<u32>),
     /// It takes its part again.
-    Back(u32),
+    Restore(u32),
 }
 
 /// A host as the core knows it.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct KnownHost {
     /// Its number.
     pub host: u32,
     /// Its service.
     pub service: String,
     /// It may be taken out: it takes its part, and its version is not on trial, where the trial decides.
-    pub open: bool,
+    pub ejectable: bool,
     /// It is out, by an entry.
-    pub out: bool,
+    pub ejected: bool,
 }
 
 /// The evidence of all edges.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct OutlierDetector {
     hosts: BTreeMap<u32, Host>,
     edges: BTreeMap<u32, Edge>,
 }
 
-impl Tally {
+impl OutlierDetector {
     /// What an edge met, so many milliseconds ago.
-    pub fn take(&mut self, now: Time, edge: u32, zone: &str, observed: &[Observed], ago: Time) {
+    pub fn record(&mut self, now: Time, edge: u32, zone: &str, observed: &[HostObservation], ago: Time) {
         let at = now.saturating_sub(ago);
         let own = self.edges.entry(edge).or_default();
         own.zone = zone.into();
@@ -84,11 +84,11 @@
                 continue;
             }
             let host = self.hosts.entry(observed.host).or_default();
-            if observed.good > 0 {
+            if observed.answered > 0 {
                 own.good.insert(observed.host, at);
                 host.good = host.good.max(at);
                 host.lost.retain(|_, lost| *lost > at);
-            } else if observed.lost > 0 && at > host.good {
+            } else if observed.unreachable > 0 && at > host.good {
                 // Guards against a word that comes late: it was answered since.
                 own.lost.insert(observed.host, at);
                 host.lost.insert(edge, at);
@@ -105,14 +105,14 @@
     }
 
     /// Who thinks what of a host, for operators: edges that found it gone, and the milliseconds since anyone had an answer.
-    pub fn tell(&self, now: Time, host: u32) -> (Vec<u32>, Option<Time>) {
+    pub fn evidence(&self, now: Time, host: u32) -> (Vec<u32>, Option<Time>) {
         let Some(known) = self.hosts.get(&host) else { return (Vec::new(), None) };
         let since = (known.good > 0).then(|| now.saturating_sub(known.good));
         (known.lost.keys().copied().collect(), since)
     }
 
     /// What follows now. `known`: all hosts that are registered.
-    pub fn step(&mut self, now: Time, known: &[Known]) -> Vec<Move> {
+    pub fn decide(&mut self, now: Time, known: &[KnownHost]) -> Vec<HostAction> {
         let fresh = |at: &Time| now.saturating_sub(*at) <= FRESH;
         let there: BTreeSet<u32> = known.iter().map(|it| it.host).collect();
         self.hosts.retain(|host, _| there.contains(host));
@@ -125,15 +125,15 @@
         let ill: BTreeSet<u32> = self.edges.keys().copied().filter(|edge| self.ill(*edge)).collect();
         let zones: BTreeSet<&str> = self.edges.values().map(|edge| edge.zone.as_str()).collect();
         let mut counts: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for it in known.iter().filter(|it| it.open || it.out) {
+        for it in known.iter().filter(|it| it.ejectable || it.ejected) {
             let (all, out) = counts.entry(&it.service).or_default();
             *all += 1;
-            *out += usize::from(it.out);
+            *out += usize::from(it.ejected);
         }
         let mut moves = Vec::new();
         for it in known {
             let Some(host) = self.hosts.get_mut(&it.host) else { continue };
-            if !it.out {
+            if !it.ejected {
                 if host.out.is_some() {
                     (host.out, host.looked) = (None, None);
                 }
@@ -146,9 +146,9 @@
                     .collect();
                 let agreed = witnesses.len() >= EDGES && from.len() >= zones.len().min(2);
                 let (all, out) = counts.entry(&it.service).or_default();
-                if it.open && agreed && (*out + 1) as f64 <= MOST * *all as f64 {
+                if it.ejectable && agreed && (*out + 1) as f64 <= MOST * *all as f64 {
                     *out += 1;
-                    moves.push(Move::Out(it.host));
+                    moves.push(HostAction::Eject(it.host));
                 }
                 continue;
             }
@@ -158,7 +158,7 @@
             match host.looked {
                 _ if host.good > since => {
                     (host.out, host.looked, host.times) = (None, None, 0);
-                    moves.push(Move::Back(it.host));
+                    moves.push(HostAction::Restore(it.host));
                 }
                 None if now >= since + wait => {
                     host.looked = Some(now);
@@ -169,12 +169,12 @@
                     let lookers: Vec<u32> = lookers.collect();
                     let some =
                         lookers.iter().cycle().skip(skip).take(LOOKS.min(lookers.len())).copied().collect();
-                    moves.push(Move::Look(it.host, some));
+                    moves.push(HostAction::Retest(it.host, some));
                 }
                 Some(at) if now >= at + LOOK => {
                     (host.out, host.looked) = (Some(now), None);
                     host.times += 1;
-                    moves.push(Move::Out(it.host));
+                    moves.push(HostAction::Eject(it.host));
                 }
                 _ => {}
             }
--- a/crates/outlier-detection/tests/tally.rs
+++ b/crates/outlier-detection/tests/tally.rs
@@ -1,6 +1,6 @@
 //! Who is taken out, and how hosts come back: many edges and hosts in one process, judged after the fact.
 
-use milletwing_outlier_detection::{Known, Move, Observed, Tally};
+use milletwing_outlier_detection::{HostAction, HostObservation, KnownHost, OutlierDetector};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,20 +10,21 @@
 struct World {
     now: u64,
     chance: Pcg64Mcg,
-    tally: Tally,
-    hosts: Vec<Known>,
+    tally: OutlierDetector,
+    hosts: Vec<KnownHost>,
     edges: u32,
     looks: BTreeMap<u32, Vec<u32>>,
-    moves: Vec<(u64, Move)>,
+    moves: Vec<(u64, HostAction)>,
 }
 
 impl World {
     fn new(seed: u64, edges: u32, hosts: u32) -> World {
-        let hosts = (0..hosts).map(|host| Known { host, service: "s".into(), open: true, out: false });
+        let hosts =
+            (0..hosts).map(|host| KnownHost { host, service: "s".into(), ejectable: true, ejected: false });
         World {
             now: 10_000,
             chance: Pcg64Mcg::seed_from_u64(seed),
-            tally: Tally::default(),
+            tally: OutlierDetector::default(),
             hosts: hosts.collect(),
             edges,
             looks: BTreeMap::new(),
@@ -44,39 +45,40 @@
                 let at = look.filter(|_| turn == 0).unwrap_or(at);
                 let it = &self.hosts[at];
                 let looks = self.looks.get(&it.host).is_some_and(|looks| looks.contains(&edge));
-                if it.out && !looks {
+                if it.ejected && !looks {
                     continue;
                 }
-                let observed =
-                    observed.entry(it.host).or_insert(Observed { host: it.host, ..Observed::default() });
+                let observed = observed
+                    .entry(it.host)
+                    .or_insert(HostObservation { host: it.host, ..HostObservation::default() });
                 if gone(edge, it.host) {
-                    observed.lost += 1;
+                    observed.unreachable += 1;
                 } else {
-                    observed.good += 1;
+                    observed.answered += 1;
                 }
             }
-            let observed: Vec<Observed> = observed.into_values().collect();
+            let observed: Vec<HostObservation> = observed.into_values().collect();
             let ago = self.chance.random_range(0..400);
-            self.tally.take(self.now, edge, ZONES[edge as usize % 3], &observed, ago);
+            self.tally.record(self.now, edge, ZONES[edge as usize % 3], &observed, ago);
             if self.chance.random_range(0..4) == 0 {
-                self.tally.take(self.now, edge, ZONES[edge as usize % 3], &observed, ago);
+                self.tally.record(self.now, edge, ZONES[edge as usize % 3], &observed, ago);
                 // told twice
             }
         }
-        for it in self.tally.step(self.now, &self.hosts) {
+        for it in self.tally.decide(self.now, &self.hosts) {
             let (host, out, looks) = match &it {
-                Move::Out(host) => (*host, true, Vec::new()),
-                Move::Look(host, looks) => (*host, true, looks.clone()),
-                Move::Back(host) => (*host, false, Vec::new()),
+                HostAction::Eject(host) => (*host, true, Vec::new()),
+                HostAction::Retest(host, looks) => (*host, true, looks.clone()),
+                HostAction::Restore(host) => (*host, false, Vec::new()),
             };
-            self.hosts[host as usize].out = out;
+            self.hosts[host as usize].ejected = out;
             self.looks.insert(host, looks);
             self.moves.push((self.now, it));
         }
     }
 
     fn out(&self) -> usize {
-        self.hosts.iter().filter(|it| it.out).count()
+        self.hosts.iter().filter(|it| it.ejected).count()
     }
 }
 
@@ -108,10 +110,10 @@
         (0..8).for_each(|_| world.tick(&|_, _| false));
         let begun = world.now;
         (0..80).for_each(|_| world.tick(&|_, host| host == 7));
-        let out = world.moves.iter().find(|(_, it)| *it == Move::Out(7)).map(|(at, _)| at - begun);
+        let out = world.moves.iter().find(|(_, it)| *it == HostAction::Eject(7)).map(|(at, _)| at - begun);
         times.push(out.unwrap_or_else(|| panic!("seed {seed}: never")));
         assert!(
-            world.moves.iter().all(|(_, it)| matches!(it, Move::Out(7) | Move::Look(7, _))),
+            world.moves.iter().all(|(_, it)| matches!(it, HostAction::Eject(7) | HostAction::Retest(7, _))),
             "{:?}",
             world.moves
         );
@@ -119,14 +121,16 @@
         let looks: Vec<(u64, &Vec<u32>)> = world
             .moves
             .iter()
-            .filter_map(|(at, it)| if let Move::Look(_, looks) = it { Some((*at, looks)) } else { None })
+            .filter_map(
+                |(at, it)| if let HostAction::Retest(_, looks) = it { Some((*at, looks)) } else { None },
+            )
             .collect();
         assert!(looks.len() >= 2 && looks.iter().all(|(_, who)| who.len() == 2), "seed {seed}: {looks:?}");
         assert_ne!(looks[0].1, looks[1].1);
         assert!(looks.windows(3).all(|it| it[2].0 - it[1].0 > it[1].0 - it[0].0), "seed {seed}: {looks:?}");
         // It answers again: the next look brings it back.
         (0..200).for_each(|_| world.tick(&|_, _| false));
-        assert_eq!(world.moves.last().map(|(_, it)| it.clone()), Some(Move::Back(7)), "seed {seed}");
+        assert_eq!(world.moves.last().map(|(_, it)| it.clone()), Some(HostAction::Restore(7)), "seed {seed}");
         assert_eq!(world.out(), 0);
     }
     times.sort_unstable();
@@ -147,7 +151,7 @@
     }
     // One on trial, cold, draining or in an emptied zone is left to those who decide on that.
     let mut world = World::new(1, 40, 30);
-    world.hosts[7].open = false;
+    world.hosts[7].ejectable = false;
     (0..40).for_each(|_| world.tick(&|_, host| host == 7));
     assert!(world.moves.is_empty());
 }
@@ -155,17 +159,21 @@
 /// A word that comes late does not count against an answer that came since.
 #[test]
 fn late_words_do_not_count() {
-    let mut tally = Tally::default();
-    let known = [Known { host: 1, service: "s".into(), open: true, out: false }];
-    let observed = |good, lost| [Observed { host: 1, good, lost, ..Observed::default() }];
+    let mut tally = OutlierDetector::default();
+    let known = [KnownHost { host: 1, service: "s".into(), ejectable: true, ejected: false }];
+    let observed = |good, lost| {
+        let observed = |answered, unreachable| {
+            [HostObservation { host: 1, answered, unreachable, ..HostObservation::default() }]
+        };
+    };
     for edge in 0..6 {
-        tally.take(10_000, edge, ZONES[edge as usize % 3], &observed(0, 1), 900);
+        tally.record(10_000, edge, ZONES[edge as usize % 3], &observed(0, 1), 900);
     }
-    tally.take(10_000, 9, "a", &observed(1, 0), 100);
+    tally.record(10_000, 9, "a", &observed(1, 0), 100);
     for edge in 0..6 {
-        tally.take(10_010, edge, ZONES[edge as usize % 3], &observed(0, 1), 500);
+        tally.record(10_010, edge, ZONES[edge as usize % 3], &observed(0, 1), 500);
     }
-    assert!(tally.step(10_020, &known).is_empty());
-    let who: BTreeSet<u32> = tally.tell(10_020, 1).0.into_iter().collect();
+    assert!(tally.decide(10_020, &known).is_empty());
+    let who: BTreeSet<u32> = tally.evidence(10_020, 1).0.into_iter().collect();
     assert!(who.is_empty(), "{who:?}");
 }
--- a/crates/routing/src/intent.rs
+++ b/crates/routing/src/expected_state.rs
@@ -1,12 +1,12 @@
-//! What an edge is to route by, in the same words as what it does route by: `core` from the state that was agreed, and
-//! [`Router::reflect`](crate::Router::reflect) from the tables in use.
+//! What an edge is to route by, in the same words as what it does route by: `export_shared` from the state that was agreed, and
+//! [`Router::export_state`](crate::Router::export_state) from the tables in use.
 
 use milletwing_drift_detection::{Part, Sink};
 use milletwing_replicated_state::{Phase, State, View};
 use std::collections::BTreeSet;
 
 /// A marshal's life.
-pub fn host(
+pub fn export_marshal(
     sink: &mut impl Sink,
     id: &str,
     service: &str,
@@ -19,38 +19,48 @@
 }
 
 /// What an edge may send to a cold marshal in any second.
-pub fn deal(sink: &mut impl Sink, id: &str, part: u32) {
+pub fn export_cold_limit(sink: &mut impl Sink, id: &str, part: u32) {
     if part > 0 {
         sink.leaf(Part::Deals, id, &[&part.to_be_bytes()]);
     }
 }
 
 /// A trial's stage.
-pub fn trial(sink: &mut impl Sink, service: &str, number: u64, stage: u32) {
+pub fn export_trial(sink: &mut impl Sink, service: &str, number: u64, stage: u32) {
     sink.leaf(Part::Trials, service, &[&number.to_be_bytes(), &stage.to_be_bytes()]);
 }
 
 /// All but the routes and the deals, as they were agreed.
-pub fn core(view: &View, sink: &mut impl Sink) {
+pub fn export_shared(view: &View, sink: &mut impl Sink) {
     let mut services = BTreeSet::new();
     for (id, node) in &view.nodes {
         let (open, new) = view.standing(node);
-        host(sink, id, &node.target, node.address, (open, new, matches!(node.phase, Phase::Cold(_))));
+        export_marshal(
+            sink,
+            id,
+            &node.target,
+            node.address,
+            (open, new, matches!(node.phase, Phase::Cold(_))),
+        );
         services.insert(node.target.as_str());
     }
     for (service, roll) in &view.rollouts {
         // An edge that knows no marshal of a service holds no trial of it.
         if roll.state == State::Active && services.contains(service.as_str()) {
-            trial(sink, service, roll.number, roll.stage);
+            export_trial(sink, service, roll.number, roll.stage);
         }
     }
 }
 
 /// The deals of one edge, as they were agreed.
-pub fn deals(view: &View, edge: u32, sink: &mut impl Sink) {
+pub fn export_cold_limits(view: &View, edge: u32, sink: &mut impl Sink) {
     for (id, node) in &view.nodes {
         if let Phase::Cold(dealt) = &node.phase {
-            deal(sink, id, dealt.iter().find(|(whom, _)| *whom == edge).map_or(0, |(_, part)| *part));
+            export_cold_limit(
+                sink,
+                id,
+                dealt.iter().find(|(whom, _)| *whom == edge).map_or(0, |(_, part)| *part),
+            );
         }
     }
 }
--- a/crates/routing/src/marshal.rs
+++ b/crates/routing/src/marshal.rs
@@ -1,7 +1,7 @@
 //! What an edge knows of one marshal: its place, its load as told and as observed, how fast it is, how often it fails.
 
 use crate::Time;
-use milletwing_outlier_detection::{key, Observed};
+use milletwing_outlier_detection::{host_key, HostObservation};
 use milletwing_replicated_state::{Node, Phase};
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
@@ -18,7 +18,7 @@
 
 impl Load {
     /// From `running,waiting,slots`.
-    pub fn read(text: &str) -> Option<Load> {
+    pub fn parse(text: &str) -> Option<Load> {
         let mut parts = text.split(',').map(|part| part.trim().parse().ok());
         Some(Load { running: parts.next()??, waiting: parts.next()?? })
     }
@@ -26,25 +26,25 @@
 
 /// What came of one sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Result {
+pub enum AttemptOutcome {
     /// A whole answer.
     Served,
     /// An answer of its own that tells of a failure: it ran.
     Failed,
     /// Certainly not run: it said so.
-    TurnedAway,
+    Rejected,
     /// Certainly not run: another life has the address.
-    Moved,
+    WrongInstance,
     /// Nothing was sent: no connection came up.
-    Unreached,
+    ConnectFailed,
     /// Nothing was sent: the connection had ended.
-    Unsent,
+    NotSent,
     /// It may have run: the connection broke, or bytes came that are no answer.
-    Broken,
+    ConnectionBroken,
     /// It may have run: no answer in its time.
-    Silent,
+    TimedOut,
     /// The client left, or another marshal was faster.
-    Dropped,
+    Cancelled,
 }
 
 /// How near a marshal is.
@@ -126,10 +126,10 @@
     /// Told, here or to another edge: requests of others there, and when.
     told: (f64, Time),
     /// Its life as a number, by which edges tell each other of it; and what this one met there since it told last.
-    pub observed: Observed,
+    pub observed: HostObservation,
     /// Mean milliseconds of an answer, 0: unknown.
     pub mean: f64,
-    /// Observed share of failures, and when it was brought up to date.
+    /// HostObservation share of failures, and when it was brought up to date.
     bad: (f64, Time),
     /// Avoided until then, how often in a row, and whether a first request is out after that.
     avoid: (Time, u32),
@@ -164,12 +164,12 @@
             since,
             ..fresh
         };
-        self.observed = Observed { host: self.observed.host, ..observed };
+        self.observed = HostObservation { host: self.observed.host, ..observed };
     }
 
     /// What was met there since the last call, if anything.
-    pub fn tell(&mut self) -> Option<Observed> {
-        let fresh = Observed { host: self.observed.host, ..Observed::default() };
+    pub fn tell(&mut self) -> Option<HostObservation> {
+        let fresh = HostObservation { host: self.observed.host, ..HostObservation::default() };
         (self.observed != fresh).then(|| std::mem::replace(&mut self.observed, fresh))
     }
 
@@ -196,7 +196,7 @@
             health: Health::default(),
             out: 0,
             told: (0.0, 0),
-            observed: Observed { host: key(&node.id), ..Observed::default() },
+            observed: HostObservation { host: host_key(&node.id), ..HostObservation::default() },
             mean: 0.0,
             bad: (0.0, now),
             avoid: (0, 0),
@@ -217,13 +217,17 @@
 
     /// Whether the end of a sending that went out then says something of this marshal's version, or only that the host is not
     /// there.
-    pub fn dead(&self, result: Result, since: Time, took: Time) -> bool {
+    pub fn dead(&self, result: AttemptOutcome, since: Time, took: Time) -> bool {
         let lost = match result {
-            Result::Unreached => true,
+            AttemptOutcome::ConnectFailed => true,
             // Nothing that was sent arrived there for so long; a process that hangs still takes bytes.
-            Result::Broken => self.unreached || took >= UNHEARD,
-            Result::Silent | Result::Dropped => self.unreached,
-            Result::Served | Result::Failed | Result::TurnedAway | Result::Moved | Result::Unsent => false,
+            AttemptOutcome::ConnectionBroken => self.unreached || took >= UNHEARD,
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => self.unreached,
+            AttemptOutcome::Served
+            | AttemptOutcome::Failed
+            | AttemptOutcome::Rejected
+            | AttemptOutcome::WrongInstance
+            | AttemptOutcome::NotSent => false,
         };
         lost && self.answered < since
     }
@@ -310,7 +314,7 @@
         mean * (1.0 + queue + 0.25 * (jobs / self.capacity).min(1.0))
     }
 
-    /// Observed share of failures.
+    /// HostObservation share of failures.
     pub fn failing(&self, now: Time) -> f64 {
         self.bad.0 * (0.5f64).powf(now.saturating_sub(self.bad.1) as f64 / FADE)
     }
@@ -336,7 +340,7 @@
     }
 
     /// What came of it. Gives the milliseconds for which it is avoided, where that begins.
-    pub fn end(&mut self, now: Time, result: Result, took: Time, load: Option<Load>) -> Option<Time> {
+    pub fn end(&mut self, now: Time, result: AttemptOutcome, took: Time, load: Option<Load>) -> Option<Time> {
         self.out = self.out.saturating_sub(1);
         self.trying = false;
         if let Some(load) = load {
@@ -344,48 +348,58 @@
             self.told = (others.max(0.0), now);
             self.observed.load = u16::try_from((load.running + load.waiting).saturating_sub(1)).ok();
         }
-        if matches!(result, Result::Served | Result::Failed | Result::TurnedAway) {
+        if matches!(result, AttemptOutcome::Served | AttemptOutcome::Failed | AttemptOutcome::Rejected) {
             (self.answered, self.unreached) = (now, false);
         }
-        self.unreached |= result == Result::Unreached;
+        self.unreached |= result == AttemptOutcome::ConnectFailed;
         let observed = &mut self.observed;
         match result {
-            Result::Served | Result::TurnedAway => observed.good = observed.good.saturating_add(1),
-            Result::Failed | Result::Broken => observed.bad = observed.bad.saturating_add(1),
-            Result::Unreached | Result::Silent => observed.lost = observed.lost.saturating_add(1),
-            Result::Moved | Result::Unsent | Result::Dropped => {}
+            AttemptOutcome::Served | AttemptOutcome::Rejected => {
+                observed.answered = observed.answered.saturating_add(1)
+            }
+            AttemptOutcome::Failed | AttemptOutcome::ConnectionBroken => {
+                observed.failed = observed.failed.saturating_add(1)
+            }
+            AttemptOutcome::ConnectFailed | AttemptOutcome::TimedOut => {
+                observed.unreachable = observed.unreachable.saturating_add(1)
+            }
+            AttemptOutcome::WrongInstance | AttemptOutcome::NotSent | AttemptOutcome::Cancelled => {}
         }
         match result {
-            Result::Served => {
+            AttemptOutcome::Served => {
                 self.avoid = (0, 0);
                 let took = (took as f64).max(0.5);
                 self.mean = if self.mean > 0.0 { self.mean + 0.1 * (took - self.mean) } else { took };
                 self.feel(now, 0.0);
             }
-            Result::Failed => {
+            AttemptOutcome::Failed => {
                 self.avoid = (0, 0);
                 self.feel(now, 1.0);
             }
-            Result::TurnedAway => {
+            AttemptOutcome::Rejected => {
                 // Full: others send there as well.
                 self.avoid = (0, 0);
                 self.full(now);
             }
-            Result::Broken => {
+            AttemptOutcome::ConnectionBroken => {
                 // Marshals of some services reset when they are full: one that was known to be busy and breaks off at once.
                 if self.jobs(now) >= self.capacity && (took as f64) < 0.5 * self.mean {
                     self.full(now);
                 }
                 self.feel(now, 1.0);
             }
-            Result::Moved | Result::Unreached | Result::Silent => {
+            AttemptOutcome::WrongInstance | AttemptOutcome::ConnectFailed | AttemptOutcome::TimedOut => {
                 self.feel(now, 1.0);
                 let times = self.avoid.1.min(8);
-                let span = if result == Result::Moved { AVOID.1 } else { (AVOID.0 << times).min(AVOID.1) };
+                let span = if result == AttemptOutcome::WrongInstance {
+                    AVOID.1
+                } else {
+                    (AVOID.0 << times).min(AVOID.1)
+                };
                 self.avoid = (now + span, times + 1);
                 return Some(span);
             }
-            Result::Unsent | Result::Dropped => {}
+            AttemptOutcome::NotSent | AttemptOutcome::Cancelled => {}
         }
         None
     }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -11,7 +11,7 @@
 
 use crate::budget::Budget;
 use crate::marshal::Marshal;
-use crate::table::{Route, Table};
+use crate::table::{Route, RouteTable};
 use crate::tenants::{Salt, Tenant};
 use crate::trial::Trial;
 use crate::Time;
@@ -30,7 +30,7 @@
 
 /// Where this edge is.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Location {
     /// Its address as a number.
     pub id: u32,
     /// Its zone.
@@ -38,25 +38,25 @@
     /// Its region.
     pub region: String,
     /// The region of each zone.
-    pub zones: BTreeMap<String, String>,
+    pub zone_regions: BTreeMap<String, String>,
 }
 
 /// What a request's head says that matters for where it goes.
 #[derive(Clone, Copy, Debug)]
-pub struct Head<'a> {
+pub struct RequestHead<'a> {
     /// The `Host`.
     pub host: &'a str,
     /// The path.
     pub path: &'a str,
     /// Milliseconds for which the client waits, where it says so.
-    pub remaining: Option<u64>,
+    pub remaining_ms: Option<u64>,
     /// The key, where there is one.
-    pub key: Option<&'a str>,
+    pub api_key: Option<&'a str>,
 }
 
 /// A request under way.
 #[derive(Debug)]
-pub struct Ticket {
+pub struct RoutedRequest {
     /// Its route.
     pub route: Rc<Route>,
     /// Whose key it bears, where it needs one.
@@ -72,37 +72,37 @@
     /// Marshals that it was offered to without a byte being sent.
     missed: u32,
     /// It may have run somewhere.
-    pub ran: bool,
+    pub may_have_run: bool,
     /// What the coin said, where a version is on trial.
     new: bool,
 }
 
 /// One sending.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sending {
+pub struct Attempt {
     /// To be given back.
-    pub marshal: u64,
+    pub marshal_key: u64,
     /// The marshal's life.
     pub id: Rc<str>,
     /// Where it listens.
     pub address: SocketAddrV4,
     /// When it was picked.
-    pub at: Time,
+    pub started_at: Time,
     /// Connections that this edge may hold to it.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Its number, and its service.
     number: u64,
     service: Rc<str>,
 }
 
-impl Sending {
-    fn to(key: u64, marshal: &Marshal, now: Time, connections: usize, number: u64) -> Sending {
-        Sending {
-            marshal: key,
+impl Attempt {
+    fn to(key: u64, marshal: &Marshal, now: Time, connections: usize, number: u64) -> Attempt {
+        Attempt {
+            marshal_key: key,
             id: Rc::clone(&marshal.id),
             address: marshal.address,
-            at: now,
-            connections,
+            started_at: now,
+            max_connections: connections,
             number,
             service: Rc::clone(&marshal.service),
         }
@@ -113,7 +113,7 @@
 #[derive(Clone, Debug)]
 pub struct Probe {
     /// Where it goes.
-    pub sending: Sending,
+    pub attempt: Attempt,
     /// The path to ask for.
     pub path: String,
 }
@@ -131,7 +131,7 @@
     ((per_s * bounds.warmupExcess + bounds.warmupSlack) / edges.max(1.0)).max(1.0) as u32
 }
 
-impl Ticket {
+impl RoutedRequest {
     /// Whether it may be served in a region: where route and tenant both have homes, both bind.
     fn at_home(&self, region: &str) -> bool {
         let binds = |homes: &[String]| homes.is_empty() || homes.iter().any(|home| home == region);
@@ -190,9 +190,9 @@
 /// What an edge decides by.
 #[derive(Debug)]
 pub struct Router {
-    place: Place,
+    place: Location,
     bounds: Guarantees,
-    table: Table,
+    table: RouteTable,
     of: Option<Arc<Configuration>>,
     marshals: HashMap<u64, Marshal, RandomState>,
     keys: HashMap<String, u64, RandomState>,
@@ -218,11 +218,11 @@
 
 impl Router {
     /// Knows nothing yet.
-    pub fn new(place: Place, bounds: Guarantees, seed: u64) -> Router {
+    pub fn new(place: Location, bounds: Guarantees, seed: u64) -> Router {
         Router {
             place,
             bounds,
-            table: Table::default(),
+            table: RouteTable::default(),
             of: None,
             marshals: HashMap::default(),
             keys: HashMap::default(),
@@ -242,12 +242,12 @@
     }
 
     /// Whether there is a configuration.
-    pub fn ready(&self) -> bool {
+    pub fn has_configuration(&self) -> bool {
         self.of.is_some()
     }
 
     /// Whether requests need keys of tenants.
-    pub fn keyed(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         self.table.tenants.any()
     }
 
@@ -257,12 +257,12 @@
     }
 
     /// Whether a marshal is still known.
-    pub fn knows(&self, marshal: u64) -> bool {
+    pub fn contains_marshal(&self, marshal: u64) -> bool {
         self.marshals.contains_key(&marshal)
     }
 
     /// How many edges take traffic.
-    pub fn edges(&mut self, count: u32) {
+    pub fn set_edge_count(&mut self, count: u32) {
         // Fewer are not believed at once: those that are not heard may still send.
         let count = f64::from(count.max(1));
         self.edges = if count >= self.edges { count } else { self.edges + 0.02 * (count - self.edges) };
@@ -274,7 +274,7 @@
     }
 
     /// Makes all tables anew from what the core has agreed, as if for the first time; what was counted and observed stays.
-    pub fn renew(&mut self, now: Time, view: &View) {
+    pub fn rebuild(&mut self, now: Time, view: &View) {
         self.of = None;
         self.hosts.clear();
         self.services.values_mut().for_each(|service| service.trial = None);
@@ -282,22 +282,22 @@
     }
 
     /// The core was heard.
-    pub fn heard(&mut self, now: Time) {
+    pub fn core_heard(&mut self, now: Time) {
         self.heard = now;
     }
 
     /// Milliseconds since the core was heard last; since the process began, where it never was.
-    pub fn silence_of_core(&self, now: Time) -> Time {
+    pub fn time_since_core_contact(&self, now: Time) -> Time {
         now.saturating_sub(self.heard)
     }
 
     /// Whether the core was not heard for so long that what it agreed meanwhile may already have had its effects.
-    pub fn out_of_touch(&self, now: Time) -> bool {
-        self.silence_of_core(now) > OUT_OF_TOUCH
+    pub fn core_contact_lost(&self, now: Time) -> bool {
+        self.time_since_core_contact(now) > OUT_OF_TOUCH
     }
 
     /// An answer of a route had so many bytes.
-    pub fn weighed(&mut self, route: &Route, bytes: u64) {
+    pub fn record_response_size(&mut self, route: &Route, bytes: u64) {
         let kilobytes = bytes as f64 / 1024.0;
         match self.weight.get_mut(&route.name) {
             Some(mean) => *mean += 0.05 * (kilobytes - *mean),
@@ -308,7 +308,7 @@
     }
 
     /// Seconds after which a refused client should come back: spread, so that not all return at once.
-    pub fn back(&mut self, route: Option<&Route>) -> f64 {
+    pub fn retry_after_seconds(&mut self, route: Option<&Route>) -> f64 {
         match route {
             Some(route) => route.target as f64 / 1000.0 * self.chance.random_range(0.15..0.6),
             // No configuration yet: the core is on its way back, which takes about a second.
--- a/crates/routing/src/router/pick.rs
+++ b/crates/routing/src/router/pick.rs
@@ -1,29 +1,29 @@
 //! Which marshal a request is sent to, and when a second one.
 
 use super::{
-    connections, unheard_bound, Head, Router, Sending, Ticket, AWAY, BUDGET_PART, CROSSING, DEEP, HEARD,
-    LONG, NEAR, STEP,
+    connections, unheard_bound, Attempt, RequestHead, RoutedRequest, Router, AWAY, BUDGET_PART, CROSSING,
+    DEEP, HEARD, LONG, NEAR, STEP,
 };
 use crate::table::Route;
 use crate::trial::{Out, Trial};
 use crate::Time;
 use milletwing_config::Kind;
-use milletwing_sequential_test::LAST;
+use milletwing_sequential_test::FINAL_STAGE;
 use rand::Rng;
 use std::rc::Rc;
 
 impl Router {
     /// A request came. Errors: no configuration, no route, or no known key where the route needs one.
-    pub fn arrive(&mut self, now: Time, head: Head<'_>) -> Result<Ticket, Kind> {
+    pub fn route_request(&mut self, now: Time, head: RequestHead<'_>) -> Result<RoutedRequest, Kind> {
         if self.of.is_none() {
             return Err(Kind::NotReady);
         }
         // Guards against a refusal for good by what is known no longer.
-        let unless_newer = |kind| if self.out_of_touch(now) { Kind::OutOfTouch } else { kind };
+        let unless_newer = |kind| if self.core_contact_lost(now) { Kind::OutOfTouch } else { kind };
         let route = self.table.find(head.host, head.path).ok_or_else(|| unless_newer(Kind::NoRoute))?;
         let route = Rc::clone(route);
         let tenant = if self.table.tenants.any() && !route.keyless {
-            let found = head.key.and_then(|key| self.table.tenants.find(key));
+            let found = head.api_key.and_then(|key| self.table.tenants.find(key));
             Some(Rc::clone(found.ok_or_else(|| unless_newer(Kind::UnknownKey))?))
         } else {
             None
@@ -40,8 +40,8 @@
                 new = trial.heads(now, route.class, draw, self.bounds.exposureShare, slack, heard);
             }
         }
-        let hold = head.remaining.unwrap_or(u64::MAX).min(route.guard);
-        Ok(Ticket {
+        let hold = head.remaining_ms.unwrap_or(u64::MAX).min(route.guard);
+        Ok(RoutedRequest {
             deadline: now + hold,
             route,
             tenant,
@@ -49,7 +49,7 @@
             tried: Vec::new(),
             sent: 0,
             missed: 0,
-            ran: false,
+            may_have_run: false,
             new,
         })
     }
@@ -64,13 +64,13 @@
 
     /// Picks a marshal for a first sending, or for a further one. Errors: the request's time or its tries are used up, no
     /// marshal may be sent to, or the budget of further tries is spent.
-    pub fn pick(&mut self, now: Time, ticket: &mut Ticket) -> Result<Sending, Kind> {
+    pub fn start_attempt(&mut self, now: Time, ticket: &mut RoutedRequest) -> Result<Attempt, Kind> {
         if now >= ticket.deadline {
-            return Err(if ticket.ran { Kind::Silent } else { Kind::Expired });
+            return Err(if ticket.may_have_run { Kind::Silent } else { Kind::Expired });
         }
         // The one place that owns the limit: whoever asks for a further sending is refused here, whatever was decided earlier.
         if ticket.sent >= self.max_tries(&ticket.route) {
-            return Err(if ticket.ran { Kind::Broken } else { Kind::TurnedAway });
+            return Err(if ticket.may_have_run { Kind::Broken } else { Kind::TurnedAway });
         }
         let key = self.cheapest(now, ticket)?;
         if ticket.sent > 0 {
@@ -80,8 +80,8 @@
     }
 
     /// The marshal at which a request costs least, of two drawn from each reach; of all, where none of those may be sent to.
-    fn cheapest(&mut self, now: Time, ticket: &Ticket) -> Result<u64, Kind> {
-        let out_of_touch = self.out_of_touch(now);
+    fn cheapest(&mut self, now: Time, ticket: &RoutedRequest) -> Result<u64, Kind> {
+        let out_of_touch = self.core_contact_lost(now);
         let Some(service) = self.services.get(&ticket.service) else { return Err(Kind::NoMarshal) };
         let repeatable = ticket.route.class.repeatable();
         let kilobytes = self.weight.get(&ticket.route.name).copied().unwrap_or(4.0);
@@ -93,7 +93,7 @@
         let marshals = &mut self.marshals;
         let (usual, others) = (service.usual, service.others);
         // A further try of a request goes to the version that is known, as long as that has traffic.
-        let last = service.trial.as_ref().is_some_and(|trial| trial.stage >= LAST);
+        let last = service.trial.as_ref().is_some_and(|trial| trial.stage >= FINAL_STAGE);
         let wanted = last || (ticket.new && ticket.sent == 0);
         let tried = service.trial.is_some();
         let unheard = self
@@ -161,22 +161,22 @@
             service.reach.iter().flatten().for_each(|key| weigh(*key, None, &mut best, &mut full));
         }
         let none = if full { Kind::Full } else { Kind::NoMarshal };
-        best.map(|(_, key)| key).ok_or(if ticket.ran { Kind::Broken } else { none })
+        best.map(|(_, key)| key).ok_or(if ticket.may_have_run { Kind::Broken } else { none })
     }
 
     /// Takes a further sending from this edge's part of the budget.
-    fn spend_retry(&mut self, now: Time, ticket: &Ticket) -> Result<(), Kind> {
+    fn spend_retry(&mut self, now: Time, ticket: &RoutedRequest) -> Result<(), Kind> {
         let ratio = self.bounds.retryBudgetRatio * BUDGET_PART;
         let slack = self.bounds.retrySlack * BUDGET_PART / (self.edges + 2.0);
         let Some(service) = self.services.get_mut(&ticket.service) else { return Err(Kind::NoMarshal) };
         if service.budget.take(now, ratio, slack) {
             return Ok(());
         }
-        Err(if ticket.ran { Kind::Broken } else { Kind::TurnedAway })
+        Err(if ticket.may_have_run { Kind::Broken } else { Kind::TurnedAway })
     }
 
     /// Counts a sending that goes to this marshal now.
-    fn begin(&mut self, now: Time, ticket: &mut Ticket, key: u64) -> Result<Sending, Kind> {
+    fn begin(&mut self, now: Time, ticket: &mut RoutedRequest, key: u64) -> Result<Attempt, Kind> {
         let Some(service) = self.services.get_mut(&ticket.service) else { return Err(Kind::NoMarshal) };
         let connections = connections(service.connections, self.edges);
         let Some(marshal) = self.marshals.get_mut(&key) else { return Err(Kind::NoMarshal) };
@@ -192,24 +192,24 @@
         }
         ticket.tried.push(key);
         ticket.sent += 1;
-        Ok(Sending::to(key, marshal, now, connections, number))
+        Ok(Attempt::to(key, marshal, now, connections, number))
     }
 
     /// Milliseconds after which a repeatable request without an answer is sent to a second marshal as well.
-    pub fn patience(&self, ticket: &Ticket, sending: &Sending) -> Option<Time> {
+    pub fn hedge_delay(&self, ticket: &RoutedRequest, sending: &Attempt) -> Option<Time> {
         if !ticket.route.class.repeatable() || ticket.sent >= self.max_tries(&ticket.route) {
             return None;
         }
-        let mean = self.marshals.get(&sending.marshal).map_or(0.0, |marshal| marshal.mean);
+        let mean = self.marshals.get(&sending.marshal_key).map_or(0.0, |marshal| marshal.mean);
         let usual = self.services.get(&ticket.service).map_or(50.0, |service| service.usual);
         Some((ticket.route.target as f64 * 0.6).max(4.0 * mean.max(usual)) as Time)
     }
 
     /// Milliseconds that a sending may well take: the expected wait many times over, and twice the route's aim at least.
-    pub fn may_take(&self, now: Time, ticket: &Ticket, sending: &Sending) -> Time {
+    pub fn expected_duration_bound(&self, now: Time, ticket: &RoutedRequest, sending: &Attempt) -> Time {
         let service = self.services.get(&ticket.service);
         let (usual, others) = service.map_or((50.0, 0.0), |service| (service.usual, service.others));
-        let marshal = self.marshals.get(&sending.marshal);
+        let marshal = self.marshals.get(&sending.marshal_key);
         let wait = marshal.map_or(usual, |marshal| marshal.wait(now, usual, others));
         (2 * ticket.route.target).max((LONG * wait) as Time)
     }
--- a/crates/routing/src/router/tables.rs
+++ b/crates/routing/src/router/tables.rs
@@ -3,21 +3,21 @@
 use super::{Router, Service};
 use crate::budget::Budget;
 use crate::canary::Canaries;
-use crate::intent;
+use crate::expected_state;
 use crate::marshal::{Marshal, Reach};
-use crate::table::Table;
+use crate::table::RouteTable;
 use crate::trial::Trial;
 use crate::Time;
 use milletwing_drift_detection::Sink;
 use milletwing_replicated_state::{State, View};
-use milletwing_sequential_test::UNSCORED;
+use milletwing_sequential_test::BURN_IN;
 use std::rc::Rc;
 use std::sync::Arc;
 
 impl Router {
     /// What it routes by, from the tables in use.
-    pub fn reflect(&self, sink: &mut impl Sink) {
-        self.table.reflect(sink);
+    pub fn export_state(&self, sink: &mut impl Sink) {
+        self.table.export_state(sink);
         // As picks find them: from the lists of each service.
         for (name, service) in &self.services {
             let listed = service.reach.iter().flatten().filter_map(|key| self.marshals.get(key));
@@ -25,11 +25,11 @@
             for marshal in listed {
                 known = true;
                 let flags = (marshal.open, marshal.new, marshal.part.is_some());
-                intent::host(sink, &marshal.id, name, marshal.address, flags);
-                intent::deal(sink, &marshal.id, marshal.part.unwrap_or(0));
+                expected_state::export_marshal(sink, &marshal.id, name, marshal.address, flags);
+                expected_state::export_cold_limit(sink, &marshal.id, marshal.part.unwrap_or(0));
             }
             if let Some(trial) = service.trial.as_ref().filter(|_| known) {
-                intent::trial(sink, name, trial.number, trial.stage);
+                expected_state::export_trial(sink, name, trial.number, trial.stage);
             }
         }
     }
@@ -37,7 +37,7 @@
     pub(super) fn build(&mut self, now: Time, view: &View, renew: bool) {
         if let Some(configuration) = view.configuration() {
             if self.of.as_ref().is_none_or(|of| !Arc::ptr_eq(of, configuration)) {
-                self.table = Table::new(configuration, self.salt);
+                self.table = RouteTable::new(configuration, self.salt);
                 self.of = Some(Arc::clone(configuration));
                 self.weight.retain(|name, _| configuration.routing.contains_key(name));
             }
@@ -63,7 +63,7 @@
                     self.next
                 }
             };
-            let region = self.place.zones.get(&node.zone).map_or(node.zone.as_str(), String::as_str);
+            let region = self.place.zone_regions.get(&node.zone).map_or(node.zone.as_str(), String::as_str);
             let reach = if node.zone == self.place.zone {
                 Reach::Zone
             } else if region == self.place.region {
@@ -123,7 +123,7 @@
                 }
             }
             trial.even = new / f64::max(all, 1.0);
-            trial.evidence_from = first + UNSCORED;
+            trial.evidence_from = first + BURN_IN;
             let part = trial.part(self.bounds.exposureShare);
             let marshals = self.marshals.iter().filter(|(_, marshal)| marshal.service == *name);
             trial.canaries = Canaries::choose(marshals, part, service.others);
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -24,7 +24,7 @@
     /// How many priorities of this configuration go before its own.
     pub rank: u32,
     /// Services, and the shares up to and with each.
-    pub shares: Vec<(Rc<str>, f64)>,
+    pub cumulative_shares: Vec<(Rc<str>, f64)>,
     /// Marshals that one request may be sent to.
     pub tries: u32,
     /// Regions in which it may be served; none: all.
@@ -35,13 +35,14 @@
 
 impl Route {
     /// All that matters about it, under the host by which it is found.
-    fn reflect(&self, host: &str, sink: &mut impl Sink) {
+    fn export_state(&self, host: &str, sink: &mut impl Sink) {
         let class = [crate::trial::place(self.class) as u8, u8::from(self.keyless)];
         let numbers = [self.guard, self.target, u64::from(self.rank), u64::from(self.tries)];
         let numbers = numbers.map(u64::to_be_bytes).concat();
         let mut about: Vec<&[u8]> = vec![host.as_bytes(), self.prefix.as_bytes(), &class, &numbers];
-        let shares: Vec<[u8; 8]> = self.shares.iter().map(|(_, upto)| upto.to_be_bytes()).collect();
-        for ((service, _), upto) in self.shares.iter().zip(&shares) {
+        let shares: Vec<[u8; 8]> =
+            self.cumulative_shares.iter().map(|(_, upto)| upto.to_be_bytes()).collect();
+        for ((service, _), upto) in self.cumulative_shares.iter().zip(&shares) {
             about.extend([service.as_bytes(), upto.as_slice()]);
         }
         about.extend(self.regions.iter().map(|region| region.as_bytes()));
@@ -50,25 +51,26 @@
 
     /// The service for a draw from 0 to below 1.
     pub fn service(&self, draw: f64) -> Option<&Rc<str>> {
-        let whole = self.shares.last().map_or(0.0, |(_, upto)| *upto);
-        self.shares.iter().find(|(_, upto)| draw * whole < *upto).map(|(service, _)| service)
+        let whole = self.cumulative_shares.last().map_or(0.0, |(_, upto)| *upto);
+        self.cumulative_shares.iter().find(|(_, upto)| draw * whole < *upto).map(|(service, _)| service)
     }
 }
 
 /// All routes.
 #[derive(Debug, Default)]
-pub struct Table {
+pub struct RouteTable {
     hosts: HashMap<String, Vec<Rc<Route>>, RandomState>,
     /// Those whose keys requests bear.
     pub tenants: Tenants,
 }
 
-impl Table {
+impl RouteTable {
     /// Of a configuration. `salt`: for digests of keys.
-    pub fn new(configuration: &Configuration, salt: Salt) -> Table {
+    pub fn new(configuration: &Configuration, salt: Salt) -> RouteTable {
         let priorities = priorities(configuration);
         let rank = |priority: i64| priorities.partition_point(|it| *it < priority) as u32;
-        let mut table = Table { tenants: Tenants::new(configuration, salt, rank), ..Table::default() };
+        let mut table =
+            RouteTable { tenants: Tenants::new(configuration, salt, rank), ..RouteTable::default() };
         for (name, route) in &configuration.routing {
             let Some(class) = route.class() else { continue };
             let mut upto = 0.0;
@@ -84,7 +86,7 @@
                 guard: (route.guard_s * 1000.0) as u64,
                 target: ((route.target_s * 1000.0) as u64).max(1),
                 rank: rank(route.priority),
-                shares,
+                cumulative_shares: shares,
                 tries: route.max_tries.max(1),
                 regions: route.serving_regions.clone(),
                 keyless: route.keyless,
@@ -98,11 +100,11 @@
     }
 
     /// All routes and tenants, as they are looked up.
-    pub fn reflect(&self, sink: &mut impl Sink) {
-        self.tenants.reflect(sink);
+    pub fn export_state(&self, sink: &mut impl Sink) {
+        self.tenants.export_state(sink);
         for (host, routes) in &self.hosts {
             for route in routes {
-                route.reflect(host, sink);
+                route.export_state(host, sink);
             }
         }
     }
--- a/crates/routing/src/tenants.rs
+++ b/crates/routing/src/tenants.rs
@@ -65,7 +65,7 @@
     }
 
     /// All that matters about each, without its keys.
-    pub fn reflect(&self, sink: &mut impl Sink) {
+    pub fn export_state(&self, sink: &mut impl Sink) {
         for tenant in &self.all {
             let rank = tenant.rank.map_or([0xff; 4], u32::to_be_bytes);
             let mut about: Vec<&[u8]> = vec![&rank, &tenant.keys];
--- a/crates/routing/src/trial.rs
+++ b/crates/routing/src/trial.rs
@@ -8,8 +8,8 @@
 use milletwing_config::configuration::Class;
 use milletwing_replicated_state::RollOut;
 use milletwing_sequential_test::{
-    cap, clock, pace, Exposure, Hold, Report, Sums, Vote, Watch, CLASSES, COIN, COVARIATE_SPAN, LAST,
-    UNSCORED,
+    earliest_advance, min_stage_duration, stage_cap, ExposureBudget, HoldPolicy, StageTest, Sums,
+    TrialReport, Vote, BURN_IN, CLASS_COUNT, COVARIATE_WINDOW, FILL, FINAL_STAGE,
 };
 use std::collections::VecDeque;
 
@@ -62,11 +62,11 @@
     pace: Time,
     /// Over a window, within the cap of the stage; and over the whole trial, within the bound of the rules.
     lately: Budget,
-    exposure: Exposure,
-    recent: [VecDeque<(Time, f64)>; CLASSES],
-    sums: [[Sums; 2]; CLASSES],
-    counts: [f64; CLASSES],
-    watch: Watch,
+    exposure: ExposureBudget,
+    recent: [VecDeque<(Time, f64)>; CLASS_COUNT],
+    sums: [[Sums; 2]; CLASS_COUNT],
+    counts: [f64; CLASS_COUNT],
+    watch: StageTest,
     /// When the newest marshal of the new version registered.
     pub started: Time,
     /// The new version's part of what all marshals of the service work on at once.
@@ -85,16 +85,16 @@
             number: roll.number,
             stage: roll.stage,
             since: now,
-            pace: pace(roll.period_ms),
+            pace: min_stage_duration(roll.period_ms),
             lately: Budget::new(WINDOW),
-            exposure: Exposure::default(),
+            exposure: ExposureBudget::default(),
             recent: Default::default(),
             sums: Default::default(),
-            counts: [0.0; CLASSES],
-            watch: Watch::new(0.0),
+            counts: [0.0; CLASS_COUNT],
+            watch: StageTest::new(0.0),
             started: now,
             even: 0.0,
-            evidence_from: now + UNSCORED,
+            evidence_from: now + BURN_IN,
             canaries: Canaries::default(),
         }
     }
@@ -103,26 +103,26 @@
     pub fn moved(&mut self, now: Time, stage: u32) {
         if stage != self.stage {
             (self.stage, self.since) = (stage, now);
-            self.watch = Watch::new(self.sums.iter().map(|arms| arms[1].n).sum());
+            self.watch = StageTest::new(self.sums.iter().map(|arms| arms[1].n).sum());
         }
     }
 
     /// Of the service's requests, those that may go to the new version. `share`: the bound of the rules.
     pub fn part(&self, share: f64) -> f64 {
-        (COIN * cap(self.stage, share)).min(self.even)
+        (FILL * stage_cap(self.stage, share)).min(self.even)
     }
 
     /// A request of the service came.
     pub fn request(&mut self, now: Time, class: Class) {
         self.lately.request(now);
-        self.exposure.request();
+        self.exposure.record_request();
         self.counts[place(class)] += 1.0;
     }
 
     /// Whether a request goes to the new version: the coin, within what this edge may expose. `draw`: from 0 to below 1.
     /// `share`, `slack`: the bounds of the rules, the slack this edge's own part. `heard`: the core was heard lately.
     pub fn heads(&mut self, now: Time, class: Class, draw: f64, share: f64, slack: f64, heard: bool) -> bool {
-        if self.stage >= LAST {
+        if self.stage >= FINAL_STAGE {
             return true;
         }
         // Guards against showing requests to marshals whose answers are no evidence yet.
@@ -133,16 +133,16 @@
         if !heard || (self.stage == 0 && !class.repeatable()) {
             return false;
         }
-        let cap = cap(self.stage, share);
+        let cap = stage_cap(self.stage, share);
         draw < self.part(share)
             && self.lately.take(now, cap, LATELY_SLACK * slack)
-            && self.exposure.take(share, TRIAL_SLACK * slack)
+            && self.exposure.try_take(share, TRIAL_SLACK * slack)
     }
 
     /// The earlier version's mean score of a class over the second before now.
     pub fn covariate(&mut self, now: Time, class: Class) -> f64 {
         let lane = &mut self.recent[place(class)];
-        while lane.front().is_some_and(|(at, _)| at + COVARIATE_SPAN < now) {
+        while lane.front().is_some_and(|(at, _)| at + COVARIATE_WINDOW < now) {
             lane.pop_front();
         }
         lane.iter().map(|(_, score)| score).sum::<f64>() / (lane.len() as f64).max(1.0)
@@ -169,7 +169,7 @@
     pub fn void(&mut self, number: u64) {
         let Some(out) = self.out.remove(&number).filter(|out| out.late) else { return };
         if !out.new || out.scored {
-            self.sums[place(out.class)][usize::from(out.new)].take_back(1.0, out.covariate);
+            self.sums[place(out.class)][usize::from(out.new)].remove(1.0, out.covariate);
         }
     }
 
@@ -199,11 +199,11 @@
 
     /// Whether a marshal known for so long gives evidence.
     pub fn gives(new: bool, known: Time) -> bool {
-        !new || known >= UNSCORED
+        !new || known >= BURN_IN
     }
 
     /// What the core is told, with this edge's vote.
-    pub fn report(&mut self, now: Time, service: &str) -> Report {
+    pub fn report(&mut self, now: Time, service: &str) -> TrialReport {
         let due: Vec<u64> = self
             .out
             .iter()
@@ -211,16 +211,16 @@
             .map(|(number, _)| *number)
             .collect();
         due.into_iter().for_each(|number| self.timed_out(now, number));
-        let clock = clock(self.stage, self.since, self.started, self.pace);
+        let clock = earliest_advance(self.stage, self.since, self.started, self.pace);
         // One proxy's evidence is thin: its doubt holds a stage once, the core's for longer.
-        let hold = Hold { until: clock + self.pace, after: 0.0 };
-        let vote: Option<Vote> = self.watch.judge(now, &self.sums, &self.counts, clock, hold);
-        Report {
+        let hold = HoldPolicy { until: clock + self.pace, after: 0.0 };
+        let vote: Option<Vote> = self.watch.evaluate(now, &self.sums, &self.counts, clock, hold);
+        TrialReport {
             service: service.into(),
             number: self.number,
             stage: self.stage,
             sums: self.sums,
-            counts: self.counts,
+            request_counts: self.counts,
             vote,
         }
     }
--- a/crates/routing/tests/canaries.rs
+++ b/crates/routing/tests/canaries.rs
@@ -6,7 +6,7 @@
 use milletwing_replicated_state::{Command, Phase, View};
 use milletwing_routing::canary::Canaries;
 use milletwing_routing::marshal::{Marshal, Reach};
-use milletwing_routing::{Result as Ended, Router};
+use milletwing_routing::{AttemptOutcome, Router};
 use std::collections::{BTreeMap, BTreeSet};
 
 const MARSHALS: usize = 12;
@@ -37,17 +37,17 @@
     let mut early = 0;
     for now in 1..12_000 {
         for (at, router) in edges.iter_mut().enumerate().filter(|(at, _)| now % 100 == 11 * *at as u64) {
-            router.heard(now);
+            router.core_heard(now);
             let path = if now % 200 < 100 { "/order/x" } else { "/look/x" };
             let mut ticket = arrive(router, now, path);
-            let Ok(sending) = router.pick(now, &mut ticket) else {
+            let Ok(sending) = router.start_attempt(now, &mut ticket) else {
                 panic!("{at}: the earlier version serves")
             };
             if sending.id.starts_with("i-v22") {
                 early += u32::from(now < 3_000);
                 *tried.entry(path).or_default().entry(sending.id.to_string()).or_default() += 1;
             }
-            router.ended(now + 20, &mut ticket, &sending, Ended::Served, None);
+            router.finish_attempt(now + 20, &mut ticket, &sending, AttemptOutcome::Served, None);
         }
     }
     assert_eq!(early, 0, "shown to marshals that give no evidence");
@@ -95,13 +95,13 @@
         for id in 0..9 {
             let mut router = edge(id, &view, 9, 1);
             for now in 3_000..8_000 {
-                router.heard(now);
+                router.core_heard(now);
                 let mut ticket = arrive(&mut router, now, "/look/x");
-                let sending = router.pick(now, &mut ticket).unwrap();
+                let sending = router.start_attempt(now, &mut ticket).unwrap();
                 if sending.id.starts_with("i-v22") {
                     found.insert(place(&sending.id).1);
                 }
-                router.ended(now, &mut ticket, &sending, Ended::Dropped, None);
+                router.finish_attempt(now, &mut ticket, &sending, AttemptOutcome::Cancelled, None);
             }
         }
         assert_eq!(found.len(), regions, "aim {aim}: {found:?}");
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -5,10 +5,10 @@
 use common::{arrive, edge, node, view};
 use milletwing_config::settings::Guarantees;
 use milletwing_config::Kind;
-use milletwing_outlier_detection::key;
+use milletwing_outlier_detection::host_key;
 use milletwing_replicated_state::{Command, Node, Phase};
 use milletwing_routing::marshal::Load;
-use milletwing_routing::{Head, Place, Result as Ended, Router, Ticket, Time};
+use milletwing_routing::{AttemptOutcome, Location, RequestHead, RoutedRequest, Router, Time};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,7 +20,10 @@
     assert_eq!(arrive(&mut router, 1, "/look/deep/x").route.name, "deep");
     assert_eq!(
         router
-            .arrive(1, Head { host: "H.example:80", path: "/look/x", remaining: None, key: None })
+            .route_request(
+                1,
+                RequestHead { host: "H.example:80", path: "/look/x", remaining_ms: None, api_key: None }
+            )
             .unwrap()
             .route
             .name,
@@ -28,18 +31,25 @@
     );
     for (host, path) in [("h.example", "/other/"), ("h.example", "/look"), ("g.example", "/look/x")] {
         assert_eq!(
-            router.arrive(1, Head { host, path, remaining: None, key: None }).unwrap_err(),
+            router
+                .route_request(1, RequestHead { host, path, remaining_ms: None, api_key: None })
+                .unwrap_err(),
             Kind::NoRoute,
             "{host}{path}"
         );
     }
     let mut fresh = Router::new(
-        Place { id: 1, zone: "a".into(), region: "north".into(), zones: BTreeMap::new() },
+        Location { id: 1, zone: "a".into(), region: "north".into(), zone_regions: BTreeMap::new() },
         Guarantees::default(),
         1,
     );
     assert_eq!(
-        fresh.arrive(1, Head { host: "h.example", path: "/other/", remaining: None, key: None }).unwrap_err(),
+        fresh
+            .route_request(
+                1,
+                RequestHead { host: "h.example", path: "/other/", remaining_ms: None, api_key: None }
+            )
+            .unwrap_err(),
         Kind::NotReady,
         "404 only by a configuration"
     );
@@ -50,15 +60,15 @@
 #[test]
 fn what_may_not_run_twice_goes_on_only_after_a_proof() {
     let ends = [
-        Ended::Served,
-        Ended::Failed,
-        Ended::TurnedAway,
-        Ended::Moved,
-        Ended::Unreached,
-        Ended::Unsent,
-        Ended::Broken,
-        Ended::Silent,
-        Ended::Dropped,
+        AttemptOutcome::Served,
+        AttemptOutcome::Failed,
+        AttemptOutcome::Rejected,
+        AttemptOutcome::WrongInstance,
+        AttemptOutcome::ConnectFailed,
+        AttemptOutcome::NotSent,
+        AttemptOutcome::ConnectionBroken,
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::Cancelled,
     ];
     for seed in 0..3_000 {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
@@ -67,19 +77,23 @@
         let path = if seed % 2 == 0 { "/order/x" } else { "/look/x" };
         let (mut now, mut ticket) = (2, arrive(&mut router, 2, path));
         let (mut may_have_run, mut arrivals, mut seen) = (0, 0, BTreeSet::new());
-        while let Ok(sending) = router.pick(now, &mut ticket) {
+        while let Ok(sending) = router.start_attempt(now, &mut ticket) {
             assert!(seen.insert(sending.id.clone()) || ticket.route.class.repeatable() || may_have_run == 0);
             let at: usize = sending.id.rsplit('-').next().unwrap().parse().unwrap();
             assert!(path != "/order/x" || at % 4 < 2, "{} is outside the route's regions", sending.id);
             let end = ends[chance.random_range(0..ends.len())];
             now += chance.random_range(1..100);
-            arrivals += u32::from(!matches!(end, Ended::Unreached | Ended::Unsent));
+            arrivals += u32::from(!matches!(end, AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent));
             may_have_run += u32::from(matches!(
                 end,
-                Ended::Served | Ended::Failed | Ended::Broken | Ended::Silent | Ended::Dropped
+                AttemptOutcome::Served
+                    | AttemptOutcome::Failed
+                    | AttemptOutcome::ConnectionBroken
+                    | AttemptOutcome::TimedOut
+                    | AttemptOutcome::Cancelled
             ));
-            router.ended(now, &mut ticket, &sending, end, None);
-            if !router.again(now, &ticket, end) {
+            router.finish_attempt(now, &mut ticket, &sending, end, None);
+            if !router.may_retry(now, &ticket, end) {
                 break;
             }
             assert!(path != "/order/x" || may_have_run == 0, "sent again after {end:?}");
@@ -96,7 +110,7 @@
     let mut count = |path: &str| {
         let full = |_: &u32| {
             let mut ticket = arrive(&mut router, 1, path);
-            match router.pick(1, &mut ticket) {
+            match router.start_attempt(1, &mut ticket) {
                 Ok(_) => true,
                 Err(kind) => {
                     assert_eq!(
@@ -126,10 +140,16 @@
         let mut router = edge(id, &view, 8, 1);
         for now in 1..2_000 {
             let mut ticket = arrive(&mut router, now, if now % 3 == 0 { "/order/x" } else { "/look/x" });
-            let Ok(sending) = router.pick(now, &mut ticket) else { continue };
+            let Ok(sending) = router.start_attempt(now, &mut ticket) else { continue };
             let closed = ["i-v1-0", "i-v1-1", "i-v1-5", "i-v1-9", "i-v2-3", "i-v1-2"];
             assert!(!closed.contains(&sending.id.as_ref()), "{} got a request", sending.id);
-            router.ended(now, &mut ticket, &sending, Ended::Served, Some(Load { running: 1, waiting: 0 }));
+            router.finish_attempt(
+                now,
+                &mut ticket,
+                &sending,
+                AttemptOutcome::Served,
+                Some(Load { running: 1, waiting: 0 }),
+            );
         }
     }
 }
@@ -145,11 +165,11 @@
     for now in 1..8_000 {
         for router in &mut edges {
             let mut ticket = arrive(router, now, "/look/x");
-            let Ok(sending) = router.pick(now, &mut ticket) else { continue };
+            let Ok(sending) = router.start_attempt(now, &mut ticket) else { continue };
             if sending.id.as_ref() == "i-v1-4" {
                 sent.push(now);
             }
-            router.ended(now, &mut ticket, &sending, Ended::Served, None);
+            router.finish_attempt(now, &mut ticket, &sending, AttemptOutcome::Served, None);
         }
     }
     let most =
@@ -170,17 +190,17 @@
             // A quiet time, a press, a quiet time: what was earned in the press doesn't last.
             let rate = if (10_000..15_000).contains(&now) { 1.0 } else { 0.1 };
             for router in &mut edges {
-                router.heard(now);
+                router.core_heard(now);
                 if !chance.random_bool(rate) {
                     continue;
                 }
                 firsts.push(now);
                 let mut ticket = arrive(router, now, "/look/x");
                 let mut sendings = 0;
-                while let Ok(sending) = router.pick(now, &mut ticket) {
+                while let Ok(sending) = router.start_attempt(now, &mut ticket) {
                     sendings += 1;
-                    router.ended(now, &mut ticket, &sending, Ended::Broken, None);
-                    if !router.again(now, &ticket, Ended::Broken) {
+                    router.finish_attempt(now, &mut ticket, &sending, AttemptOutcome::ConnectionBroken, None);
+                    if !router.may_retry(now, &ticket, AttemptOutcome::ConnectionBroken) {
                         break;
                     }
                 }
@@ -210,13 +230,13 @@
     for now in 1..20_000 {
         let order = now % 2 == 0;
         let mut ticket = arrive(&mut router, now, if order { "/order/x" } else { "/look/x" });
-        match router.pick(now, &mut ticket) {
+        match router.start_attempt(now, &mut ticket) {
             Ok(sending) => {
                 assert!(first || !order, "an order went to one that could not be reached");
                 // While one is out to find out, there is no other.
                 let mut second = arrive(&mut router, now, "/look/x");
-                assert!(first || router.pick(now, &mut second).is_err(), "two at once");
-                router.ended(now, &mut ticket, &sending, Ended::Unreached, None);
+                assert!(first || router.start_attempt(now, &mut second).is_err(), "two at once");
+                router.finish_attempt(now, &mut ticket, &sending, AttemptOutcome::ConnectFailed, None);
                 probes.push(now);
                 first = false;
             }
@@ -244,34 +264,36 @@
                 continue;
             }
             if now < 8_000 {
-                router.heard(now);
+                router.core_heard(now);
             }
             // Out of touch, it goes on by what marshals' health answers say.
-            for probe in router.probes(now, 8) {
-                router.probed(now, &probe, Some(true));
+            for probe in router.due_probes(now, 8) {
+                router.record_probe_result(now, &probe, Some(true));
             }
             let order = now % 20 < 10;
             let mut ticket = arrive(router, now, if order { "/order/x" } else { "/look/x" });
             all += 1.0;
-            let Ok(sending) = router.pick(now, &mut ticket) else { panic!("the earlier version serves") };
+            let Ok(sending) = router.start_attempt(now, &mut ticket) else {
+                panic!("the earlier version serves")
+            };
             let fresh = sending.id.starts_with("i-v22");
             assert!(!(fresh && order), "an order went to a version at its first stage");
             new += f64::from(u8::from(fresh));
             late += u32::from(fresh && now >= 10_001);
             if fresh && now % 3 == 0 {
-                router.ended(now, &mut ticket, &sending, Ended::Broken, None);
-                if let Ok(second) = router.pick(now, &mut ticket) {
+                router.finish_attempt(now, &mut ticket, &sending, AttemptOutcome::ConnectionBroken, None);
+                if let Ok(second) = router.start_attempt(now, &mut ticket) {
                     assert!(second.id.starts_with("i-v1"), "a further try went to the version on trial");
                 }
             } else {
-                router.ended(now, &mut ticket, &sending, Ended::Served, None);
+                router.finish_attempt(now, &mut ticket, &sending, AttemptOutcome::Served, None);
             }
         }
     }
     let bounds = Guarantees::default();
     assert!(new > 50.0 && new <= bounds.exposureShare * all + bounds.exposureSlack, "{new} of {all}");
     assert_eq!(late, 0, "exposed on the word of a core that was silent for two seconds");
-    let report = &edges[0].reports(12_000)[0];
+    let report = &edges[0].trial_reports(12_000)[0];
     assert!(report.sums[0][1].n > 0.0 && report.sums[1][1].n == 0.0);
 }
 
@@ -287,18 +309,18 @@
     let mut router = edge(1, &view, 1, 1);
     let mut out = Vec::new();
     for now in 4_000..6_000 {
-        router.heard(now);
+        router.core_heard(now);
         let mut ticket = arrive(&mut router, now, "/look/x");
-        let sending = router.pick(now, &mut ticket).unwrap();
+        let sending = router.start_attempt(now, &mut ticket).unwrap();
         if sending.id.starts_with("i-v22") {
             out.push((ticket, sending));
         } else {
-            router.ended(now, &mut ticket, &sending, Ended::Served, None);
+            router.finish_attempt(now, &mut ticket, &sending, AttemptOutcome::Served, None);
         }
     }
     assert!(out.len() > 30, "{}", out.len());
     let bad = |now: Time, router: &mut Router| {
-        (router.reports(now)[0].sums[0][1].n, router.reports(now)[0].sums[0][1].y)
+        (router.trial_reports(now)[0].sums[0][1].n, router.trial_reports(now)[0].sums[0][1].y)
     };
     // Beyond the aim all of them count, though none has ended.
     let all = out.len() as f64;
@@ -306,26 +328,26 @@
     // However they end, they count once.
     for (at, (mut ticket, sending)) in out.into_iter().enumerate() {
         match at % 3 {
-            0 => router.dropped(6_400, &sending),
-            1 => drop(router.ended(6_400, &mut ticket, &sending, Ended::Served, None)),
-            _ => drop(router.ended(6_400, &mut ticket, &sending, Ended::Silent, None)),
+            0 => router.cancel_attempt(6_400, &sending),
+            1 => drop(router.finish_attempt(6_400, &mut ticket, &sending, AttemptOutcome::Served, None)),
+            _ => drop(router.finish_attempt(6_400, &mut ticket, &sending, AttemptOutcome::TimedOut, None)),
         }
     }
     assert_eq!(bad(6_500, &mut router), (all, all));
     // One that this edge no longer waits for counts at once; a client that leaves early tells nothing.
     let mut count = 0;
     for now in 7_000..9_000 {
-        router.heard(now);
+        router.core_heard(now);
         let mut ticket = arrive(&mut router, now, "/look/x");
-        let sending = router.pick(now, &mut ticket).unwrap();
+        let sending = router.start_attempt(now, &mut ticket).unwrap();
         if sending.id.starts_with("i-v22") {
             if now % 2 == 0 {
-                router.impatient(now, &sending);
+                router.record_timeout(now, &sending);
                 count += 1;
             }
-            router.dropped(now, &sending);
+            router.cancel_attempt(now, &sending);
         } else {
-            router.ended(now, &mut ticket, &sending, Ended::Served, None);
+            router.finish_attempt(now, &mut ticket, &sending, AttemptOutcome::Served, None);
         }
     }
     assert!(count > 0);
@@ -338,19 +360,20 @@
     let view = view(12);
     let mut router = edge(1, &view, 1, 1);
     let free = [2, 9];
-    let loads: Vec<(u32, u16)> =
-        (0..12).map(|at| (key(&format!("i-v1-{at}")), if free.contains(&at) { 1 } else { 30 })).collect();
+    let loads: Vec<(u32, u16)> = (0..12)
+        .map(|at| (host_key(&format!("i-v1-{at}")), if free.contains(&at) { 1 } else { 30 }))
+        .collect();
     let mut sent = |now: Time, told: bool| -> BTreeMap<usize, u32> {
         let mut sent = BTreeMap::new();
-        router.heard(now);
+        router.core_heard(now);
         for _ in 0..200 {
             if told {
-                router.loads(now, &loads, 0);
+                router.apply_shared_loads(now, &loads, 0);
             }
             let mut ticket = arrive(&mut router, now, "/look/x");
-            let sending = router.pick(now, &mut ticket).unwrap();
+            let sending = router.start_attempt(now, &mut ticket).unwrap();
             *sent.entry(sending.id.rsplit('-').next().unwrap().parse().unwrap()).or_default() += 1;
-            router.ended(now, &mut ticket, &sending, Ended::Dropped, None);
+            router.finish_attempt(now, &mut ticket, &sending, AttemptOutcome::Cancelled, None);
         }
         sent
     };
@@ -358,14 +381,20 @@
     let later = sent(20_000, false);
     assert!(later.keys().any(|at| !free.contains(at)), "what was told long ago shuts out nobody: {later:?}");
     // What it meets itself it tells, once.
-    router.heard(30_000);
+    router.core_heard(30_000);
     let mut ticket = arrive(&mut router, 30_000, "/look/x");
-    let sending = router.pick(30_000, &mut ticket).unwrap();
-    router.ended(30_020, &mut ticket, &sending, Ended::Served, Some(Load { running: 4, waiting: 2 }));
-    let observed = router.observed(100);
-    let of = observed.iter().find(|observed| observed.host == key(&sending.id)).unwrap();
-    assert_eq!((of.good, of.bad, of.lost, of.load), (1, 0, 0, Some(5)), "itself has left");
-    assert!(router.observed(100).is_empty());
+    let sending = router.start_attempt(30_000, &mut ticket).unwrap();
+    router.finish_attempt(
+        30_020,
+        &mut ticket,
+        &sending,
+        AttemptOutcome::Served,
+        Some(Load { running: 4, waiting: 2 }),
+    );
+    let observed = router.take_observations(100);
+    let of = observed.iter().find(|observed| observed.host == host_key(&sending.id)).unwrap();
+    assert_eq!((of.answered, of.failed, of.unreachable, of.load), (1, 0, 0, Some(5)), "itself has left");
+    assert!(router.take_observations(100).is_empty());
 }
 
 /// Half of the new version's marshals stand in a zone that goes dark, none of the earlier one's: what breaks off there for want
@@ -382,33 +411,33 @@
         let lost = |id: &str| {
             id.starts_with("i-v22-") && id.rsplit('-').next().unwrap().parse::<u32>().unwrap() % 4 < 2
         };
-        let mut out: Vec<(Time, Ticket, milletwing_routing::Sending, Ended)> = Vec::new();
+        let mut out: Vec<(Time, RoutedRequest, milletwing_routing::Attempt, AttemptOutcome)> = Vec::new();
         for now in 4_000..12_000 {
-            router.heard(now);
+            router.core_heard(now);
             out.sort_by_key(|(due, ..)| std::cmp::Reverse(*due));
             while out.last().is_some_and(|(due, ..)| *due <= now) {
                 let (_, mut ticket, sending, end) = out.pop().unwrap();
-                router.ended(now, &mut ticket, &sending, end, None);
+                router.finish_attempt(now, &mut ticket, &sending, end, None);
             }
             if now % 100 == 0 {
-                router.reports(now); // time-outs count as they happen
+                router.trial_reports(now); // time-outs count as they happen
             }
             let mut ticket = arrive(&mut router, now, "/look/x");
-            let Ok(sending) = router.pick(now, &mut ticket) else { continue };
+            let Ok(sending) = router.start_attempt(now, &mut ticket) else { continue };
             let (due, end) = match (now >= 9_000 && lost(&sending.id), hangs) {
-                (false, _) => (now + 40, Ended::Served),
+                (false, _) => (now + 40, AttemptOutcome::Served),
                 // On a connection that was open: 0.7 s without a sign that bytes arrive; on a new one none comes up.
-                (true, false) if now % 2 == 0 => (now + 700, Ended::Broken),
-                (true, false) => (now + 350, Ended::Unreached),
-                (true, true) => (now + 2_000, Ended::Silent),
+                (true, false) if now % 2 == 0 => (now + 700, AttemptOutcome::ConnectionBroken),
+                (true, false) => (now + 350, AttemptOutcome::ConnectFailed),
+                (true, true) => (now + 2_000, AttemptOutcome::TimedOut),
             };
             out.push((due, ticket, sending, end));
         }
         out.sort_by_key(|(due, ..)| *due);
         for (due, mut ticket, sending, end) in out {
-            router.ended(due, &mut ticket, &sending, end, None);
+            router.finish_attempt(due, &mut ticket, &sending, end, None);
         }
-        let report = &router.reports(15_000)[0];
+        let report = &router.trial_reports(15_000)[0];
         let [old, new] = report.sums[0];
         assert!(new.n > 100.0 && old.y == 0.0, "{} of the new, {} bad of the old", new.n, old.y);
         assert_eq!(new.y > 20.0, hangs, "{} bad of {}", new.y, new.n);
--- a/crates/routing/tests/drift.rs
+++ b/crates/routing/tests/drift.rs
@@ -4,8 +4,8 @@
 use milletwing_config::settings::Guarantees;
 use milletwing_drift_detection::{Checker, Digest, Finding, Names, Part, Reflection, Repairer, Step};
 use milletwing_replicated_state::{Command, Node, Phase, View};
-use milletwing_routing::table::Table;
-use milletwing_routing::{intent, Place, Router, Time};
+use milletwing_routing::table::RouteTable;
+use milletwing_routing::{expected_state, Location, Router, Time};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -55,7 +55,7 @@
     now: Time,
     chance: Pcg64Mcg,
     view: View,
-    table: Table,
+    table: RouteTable,
     checker: Checker,
     repairer: Repairer,
     edges: BTreeMap<u32, Edge>,
@@ -71,7 +71,7 @@
             now: 1,
             chance: Pcg64Mcg::seed_from_u64(seed),
             view: View::default(),
-            table: Table::default(),
+            table: RouteTable::default(),
             checker: Checker::new(LAG),
             repairer: Repairer::default(),
             edges: BTreeMap::new(),
@@ -81,7 +81,8 @@
         };
         for id in 1..=edges {
             let zone = ["a", "b", "c"][id as usize % 3].to_owned();
-            let place = Place { id, zone: zone.clone(), region: "north".into(), zones: BTreeMap::new() };
+            let place =
+                Location { id, zone: zone.clone(), region: "north".into(), zone_regions: BTreeMap::new() };
             let router = Router::new(place, Guarantees::default(), u64::from(id));
             let edge = Edge {
                 router,
@@ -108,7 +109,7 @@
         let index = self.view.index + 1;
         self.view.apply(index, &command);
         if let Some(configuration) = self.view.configuration() {
-            self.table = Table::new(configuration, Default::default());
+            self.table = RouteTable::new(configuration, Default::default());
         }
         for (id, edge) in &mut self.edges {
             if !lost.contains(id) {
@@ -170,7 +171,7 @@
                 );
             }
         }
-        edge.router.renew(now, &other);
+        edge.router.rebuild(now, &other);
         edge.wrong = Some((now, way));
     }
 
@@ -180,8 +181,8 @@
         let now = self.now;
         if now % 200 < 100 && self.checker.index() != Some(self.view.index) {
             let mut digest = Digest::default();
-            self.table.reflect(&mut digest);
-            intent::core(&self.view, &mut digest);
+            self.table.export_state(&mut digest);
+            expected_state::export_shared(&self.view, &mut digest);
             self.checker.own(now, self.view.index, digest);
         }
         let ids: Vec<u32> = self.edges.keys().copied().collect();
@@ -197,13 +198,13 @@
             }
             edge.reflected = now;
             let mut digest = Digest::default();
-            edge.router.reflect(&mut digest);
+            edge.router.export_state(&mut digest);
             let reflection = Reflection { index: edge.view.index, digest };
             let wanted = self.checker.kept(edge.view.index).copied().map(|mut wanted| {
                 if edge.view.index != self.view.index {
                     return wanted.like(&digest, Part::Deals);
                 }
-                intent::deals(&self.view, id, &mut wanted);
+                expected_state::export_cold_limits(&self.view, id, &mut wanted);
                 wanted
             });
             let finding = self.checker.check(now, id, &reflection, wanted, true);
@@ -221,18 +222,18 @@
                 Step::Again => {}
                 Step::Renew if mend => {
                     edge.view = self.view.clone();
-                    edge.router.renew(now, &edge.view);
+                    edge.router.rebuild(now, &edge.view);
                     edge.wrong = None;
                 }
                 Step::Renew => {}
                 Step::Rest => edge.resting = true,
                 Step::Back => edge.resting = false,
                 Step::End => {
-                    let place = Place {
+                    let place = Location {
                         id: order.edge,
                         zone: edge.zone.clone(),
                         region: "north".into(),
-                        zones: BTreeMap::new(),
+                        zone_regions: BTreeMap::new(),
                     };
                     edge.router = Router::new(place, Guarantees::default(), now);
                     edge.view = self.view.clone();
@@ -333,8 +334,8 @@
     let order = kind(&|world| {
         let edge = world.edges.get_mut(&4).unwrap();
         let empty = View::default();
-        edge.router.renew(world.now, &empty);
-        edge.router.renew(world.now, &edge.view);
+        edge.router.rebuild(world.now, &empty);
+        edge.router.rebuild(world.now, &edge.view);
     });
     assert_eq!(order, None);
     // Beats without a word on what it routes by; and one that is not heard at all is unknown, not drifted.
@@ -400,13 +401,13 @@
     let mut world = World::new(1, 3);
     world.turn(2, 3);
     let (mut wanted, mut have) = (Names::default(), Names::default());
-    world.table.reflect(&mut wanted);
-    intent::core(&world.view, &mut wanted);
-    intent::deals(&world.view, 2, &mut wanted);
-    world.edges[&2].router.reflect(&mut have);
+    world.table.export_state(&mut wanted);
+    expected_state::export_shared(&world.view, &mut wanted);
+    expected_state::export_cold_limits(&world.view, 2, &mut wanted);
+    world.edges[&2].router.export_state(&mut have);
     assert_eq!(wanted.against(&have, 8), ["hosts i-0-0 differs"]);
-    world.edges[&1].router.reflect(&mut Names::default());
+    world.edges[&1].router.export_state(&mut Names::default());
     let mut same = Names::default();
-    world.edges[&1].router.reflect(&mut same);
+    world.edges[&1].router.export_state(&mut same);
     assert!(wanted.against(&same, 8).is_empty());
 }
--- a/crates/routing/tests/outage.rs
+++ b/crates/routing/tests/outage.rs
@@ -6,7 +6,7 @@
 use milletwing_config::settings::Guarantees;
 use milletwing_config::Kind;
 use milletwing_replicated_state::{Command, Phase, View};
-use milletwing_routing::{Head, Result as Ended, Router, Time};
+use milletwing_routing::{AttemptOutcome, RequestHead, Router, Time};
 
 /// When the core falls silent, when the one marshal in reach turns cold, and the end.
 const SILENT: Time = 1_000;
@@ -27,21 +27,21 @@
     let mut asked = Vec::new();
     for now in 2..END {
         if now <= SILENT {
-            router.heard(now);
+            router.core_heard(now);
         }
         if now % 20 == 0 {
             // Fifty requests a second.
             let mut ticket = arrive(router, now, "/look/x");
-            if let Ok(sending) = router.pick(now, &mut ticket) {
+            if let Ok(sending) = router.start_attempt(now, &mut ticket) {
                 sent.push(now);
-                router.ended(now, &mut ticket, &sending, Ended::Served, None);
+                router.finish_attempt(now, &mut ticket, &sending, AttemptOutcome::Served, None);
             }
         }
         if probes && now % 100 == 0 {
-            asked.extend(router.probes(now, 8).into_iter().map(|probe| (now + ANSWERS, probe)));
+            asked.extend(router.due_probes(now, 8).into_iter().map(|probe| (now + ANSWERS, probe)));
         }
         for (_, probe) in asked.extract_if(.., |(at, _)| *at <= now) {
-            router.probed(now, &probe, Some(now < COLD));
+            router.record_probe_result(now, &probe, Some(now < COLD));
         }
     }
     sent
@@ -96,12 +96,12 @@
     lone(&mut view);
     let mut router = edge(0, &view, 9, 1);
     for now in 1..10_000 {
-        router.heard(now);
+        router.core_heard(now);
         let mut ticket = arrive(&mut router, now, "/look/x");
-        if let Ok(sending) = router.pick(now, &mut ticket) {
-            router.ended(now, &mut ticket, &sending, Ended::Served, None);
+        if let Ok(sending) = router.start_attempt(now, &mut ticket) {
+            router.finish_attempt(now, &mut ticket, &sending, AttemptOutcome::Served, None);
         }
-        assert!(router.probes(now, 8).is_empty());
+        assert!(router.due_probes(now, 8).is_empty());
     }
 }
 
@@ -110,13 +110,16 @@
     let mut router = edge(0, &view(1), 9, 1);
     let refused = |router: &mut Router, now| {
         router
-            .arrive(now, Head { host: "h.example", path: "/newer/", remaining: None, key: None })
+            .route_request(
+                now,
+                RequestHead { host: "h.example", path: "/newer/", remaining_ms: None, api_key: None },
+            )
             .unwrap_err()
     };
     assert_eq!(refused(&mut router, 3_000), Kind::NoRoute);
     let kind = refused(&mut router, 9_000);
     assert_eq!((kind.clone(), kind.answer().status, kind.answer().promise), (Kind::OutOfTouch, 503, true));
-    router.heard(9_000);
+    router.core_heard(9_000);
     assert_eq!(refused(&mut router, 9_100), Kind::NoRoute);
 }
 
@@ -134,12 +137,12 @@
     view.apply(9, &command);
     let mut router = edge(0, &view, 9, 1);
     let come = |router: &mut Router, now, key| {
-        let head = Head { host: "h.example", path: "/look/", remaining: None, key: Some(key) };
-        router.arrive(now, head).map(|ticket| ticket.tenant.map(|tenant| tenant.name.to_string()))
+        let head = RequestHead { host: "h.example", path: "/look/", remaining_ms: None, api_key: Some(key) };
+        router.route_request(now, head).map(|ticket| ticket.tenant.map(|tenant| tenant.name.to_string()))
     };
     assert_eq!(come(&mut router, 3_000, "newer").unwrap_err(), Kind::UnknownKey);
     assert_eq!(come(&mut router, 9_000, "newer").unwrap_err(), Kind::OutOfTouch);
     assert_eq!(come(&mut router, 9_000, "known").unwrap(), Some("t".into()), "what is known still counts");
-    router.heard(9_000);
+    router.core_heard(9_000);
     assert_eq!(come(&mut router, 9_100, "newer").unwrap_err(), Kind::UnknownKey);
 }
--- a/crates/routing/tests/tries.rs
+++ b/crates/routing/tests/tries.rs
@@ -5,7 +5,7 @@
 
 use common::{arrive, body, edge, view};
 use milletwing_replicated_state::View;
-use milletwing_routing::{Result as Ended, Router, Sending, Ticket, Time};
+use milletwing_routing::{Attempt, AttemptOutcome, RoutedRequest, Router, Time};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -15,10 +15,16 @@
 const SEEDS: u64 = 2_000;
 const STEPS: usize = 60;
 /// Ends after which something may have arrived at the marshal.
-const ARRIVED: [Ended; 6] =
-    [Ended::Failed, Ended::TurnedAway, Ended::Moved, Ended::Broken, Ended::Silent, Ended::Dropped];
+const ARRIVED: [AttemptOutcome; 6] = [
+    AttemptOutcome::Failed,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::WrongInstance,
+    AttemptOutcome::ConnectionBroken,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::Cancelled,
+];
 /// Ends after which nothing has.
-const NOT_ARRIVED: [Ended; 2] = [Ended::Unreached, Ended::Unsent];
+const NOT_ARRIVED: [AttemptOutcome; 2] = [AttemptOutcome::ConnectFailed, AttemptOutcome::NotSent];
 
 /// A view of twelve marshals whose routes allow so many tries.
 fn with_limit(view: &mut View, revision: u64, limit: u32) {
@@ -30,15 +36,15 @@
 
 /// One request, with the sendings that are out and the marshals that something may have arrived at.
 struct Request {
-    ticket: Ticket,
-    out: Vec<Sending>,
+    ticket: RoutedRequest,
+    out: Vec<Attempt>,
     reached: BTreeSet<Rc<str>>,
 }
 
 impl Request {
     /// Whoever asks for a sending, for whatever reason, asks here: a retry, a hedge, a caller that forgot to check.
     fn send(&mut self, router: &mut Router, now: Time, limit: u32) -> bool {
-        let Ok(sending) = router.pick(now, &mut self.ticket) else { return false };
+        let Ok(sending) = router.start_attempt(now, &mut self.ticket) else { return false };
         self.reached.insert(Rc::clone(&sending.id));
         self.out.push(sending);
         let reached = self.reached.len() as u32;
@@ -52,9 +58,9 @@
         }
         let sending = self.out.swap_remove(chance.random_range(0..self.out.len()));
         let arrived = chance.random_bool(0.7);
-        let ends: &[Ended] = if arrived { &ARRIVED } else { &NOT_ARRIVED };
+        let ends: &[AttemptOutcome] = if arrived { &ARRIVED } else { &NOT_ARRIVED };
         let end = *ends.choose(chance).unwrap();
-        router.ended(now, &mut self.ticket, &sending, end, None);
+        router.finish_attempt(now, &mut self.ticket, &sending, end, None);
         if !arrived {
             self.reached.remove(&sending.id);
         }
--- a/crates/sequential-test/src/lib.rs
+++ b/crates/sequential-test/src/lib.rs
@@ -7,37 +7,37 @@
 pub mod sums;
 pub mod tally;
 
-pub use exposure::Exposure;
-pub use looks::{Hold, Report, Vote, Watch};
+pub use exposure::ExposureBudget;
+pub use looks::{HoldPolicy, StageTest, TrialReport, Vote};
 pub use sums::{adjusted_test, Sums};
-pub use tally::{Move, Tally};
+pub use tally::{TrialDecision, TrialTally};
 
 /// Milliseconds of a steady clock that is the user's.
 pub type Time = u64;
 
 /// Part of the cap that the coin uses; the rest is room for chance (design: ours).
-pub const COIN: f64 = 0.9;
+pub const FILL: f64 = 0.9;
 /// A marshal's first milliseconds that give no evidence, from its registration (design: ours).
-pub const UNSCORED: Time = 3_000;
+pub const BURN_IN: Time = 3_000;
 /// Milliseconds before a send over which the earlier version's mean score is the covariate (design: ours).
-pub const COVARIATE_SPAN: Time = 1_000;
+pub const COVARIATE_WINDOW: Time = 1_000;
 /// Outcomes of the new version before a look (design: ours).
-pub const LEAST: f64 = 20.0;
+pub const MIN_N: f64 = 20.0;
 /// Looks at a stage (design: ours).
 pub const LOOKS: u32 = 3;
 /// One-sided level over a stage's looks (design: ours; the paper tests two-sided, once).
-pub const LEVEL: f64 = 0.01;
+pub const ALPHA: f64 = 0.01;
 /// Below this p the clock holds (design: ours).
 pub const HOLD_P: f64 = 0.1;
 /// Below this p what looks doubtful goes no further though its time presses: it goes back at the end (ours).
-pub const LAST_HOLD_P: f64 = 0.05;
+pub const FINAL_HOLD_P: f64 = 0.05;
 /// A surplus of failures below this is left alone: with many outcomes the test finds any difference (ours).
-pub const LEAST_HARM: f64 = 0.015;
+pub const MIN_EFFECT: f64 = 0.015;
 /// Classes of requests: repeatable, not repeatable, large answers.
-pub const CLASSES: usize = 3;
+pub const CLASS_COUNT: usize = 3;
 
 /// The cap of each stage, as a part of the service's requests; the first takes safe classes only. The last is all.
-pub fn cap(stage: u32, share: f64) -> f64 {
+pub fn stage_cap(stage: u32, share: f64) -> f64 {
     match stage {
         0 => share,
         1 => (2.5 * share).min(1.0),
@@ -47,23 +47,23 @@
 }
 
 /// The last stage: the new version bears all.
-pub const LAST: u32 = 3;
+pub const FINAL_STAGE: u32 = 3;
 
 /// Milliseconds from a decision on a stage until the next one is in force at proxies and its evidence comes back.
 const STAGE_TRAVEL: Time = 500;
 
 /// Milliseconds that a stage lasts at least, for a roll-out that may take so long.
-pub fn pace(period_ms: u64) -> Time {
+pub fn min_stage_duration(period_ms: u64) -> Time {
     (period_ms / 12).clamp(500, 2_000)
 }
 
 /// When a stage has to move on for those that follow to have their time before a trial's end.
-pub fn latest(stage: u32, end: Time, pace: Time) -> Time {
-    end.saturating_sub(Time::from(LAST.saturating_sub(stage)) * (pace + STAGE_TRAVEL))
+pub fn latest_advance(stage: u32, end: Time, pace: Time) -> Time {
+    end.saturating_sub(Time::from(FINAL_STAGE.saturating_sub(stage)) * (pace + STAGE_TRAVEL))
 }
 
 /// When a stage may move on without a look: it began then, and the newest marshal of the new version registered then. The
 /// first stage waits for marshals that are cold and give no evidence yet (design: 4 s; ours: as the period allows).
-pub fn clock(stage: u32, since: Time, started: Time, pace: Time) -> Time {
+pub fn earliest_advance(stage: u32, since: Time, started: Time, pace: Time) -> Time {
     (since + pace).max(started + if stage == 0 { 2 * pace + 1_000 } else { pace })
 }
--- a/crates/sequential-test/src/sums.rs
+++ b/crates/sequential-test/src/sums.rs
@@ -27,11 +27,11 @@
         *self = self.plus(&Sums { n: 1.0, y, x, yy: y * y, xx: x * x, xy: x * y });
     }
     /// Takes back a unit that was added.
-    pub fn take_back(&mut self, y: f64, x: f64) {
+    pub fn remove(&mut self, y: f64, x: f64) {
         *self = self.plus(&Sums { n: -1.0, y: -y, x: -x, yy: -y * y, xx: -x * x, xy: -x * y });
     }
     /// Turns the score of a unit at the mean covariate from 0 to 1, if one is left.
-    pub fn flip(&mut self) {
+    pub fn fail_one(&mut self) {
         if self.y < self.n {
             self.xy += self.x / self.n;
             self.y += 1.0;
@@ -50,7 +50,7 @@
         }
     }
     /// All sums times a factor.
-    pub fn fade(&mut self, factor: f64) {
+    pub fn scale(&mut self, factor: f64) {
         for sum in [&mut self.n, &mut self.y, &mut self.x, &mut self.yy, &mut self.xx, &mut self.xy] {
             *sum *= factor;
         }
--- a/crates/sequential-test/src/tally.rs
+++ b/crates/sequential-test/src/tally.rs
@@ -1,22 +1,24 @@
 //! What the core makes of all proxies' votes, and of their sums added up: a proxy of a large fleet sees a few outcomes a
 //! second, so that its own looks alone would find a bad version late.
 
-use crate::{clock, Hold, Report, Sums, Time, Vote, Watch, CLASSES, LAST_HOLD_P};
+use crate::{
+    earliest_advance, HoldPolicy, StageTest, Sums, Time, TrialReport, Vote, CLASS_COUNT, FINAL_HOLD_P,
+};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
 /// What follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Move {
+pub enum TrialDecision {
     /// The next stage; after the last one, the end.
-    On,
+    Advance,
     /// Back to the earlier version.
-    Back,
+    RollBack,
 }
 
 /// A trial's evidence, for operators.
 #[derive(Clone, Debug, Serialize)]
-pub struct Told {
+pub struct TrialSummary {
     /// Adjusted surplus of the new version's score.
     pub delta: f64,
     /// One-sided p.
@@ -33,7 +35,7 @@
     pub silent: usize,
 }
 
-impl std::fmt::Display for Told {
+impl std::fmt::Display for TrialSummary {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let sum = |arm: usize| {
             self.classes.iter().fold((0.0, 0.0), |sum, arms| (sum.0 + arms[arm].0, sum.1 + arms[arm].1))
@@ -57,46 +59,46 @@
 
 /// The votes on one trial.
 #[derive(Debug)]
-pub struct Tally {
+pub struct TrialTally {
     stage: u32,
     /// Since when it is at this stage, as far as this leader knows.
     since: Time,
-    reports: BTreeMap<(u32, u64), (Time, Report)>,
-    pooled: Watch,
+    reports: BTreeMap<(u32, u64), (Time, TrialReport)>,
+    pooled: StageTest,
 }
 
-impl Tally {
+impl TrialTally {
     /// Of a trial that is at a stage.
-    pub fn new(now: Time, stage: u32) -> Tally {
-        Tally { stage, since: now, reports: BTreeMap::new(), pooled: Watch::new(0.0) }
+    pub fn new(now: Time, stage: u32) -> TrialTally {
+        TrialTally { stage, since: now, reports: BTreeMap::new(), pooled: StageTest::new(0.0) }
     }
 
     /// A proxy's report; a later one of the same life takes the place of the earlier, so that none counts twice.
-    pub fn report(&mut self, now: Time, proxy: u32, life: u64, report: Report) {
+    pub fn record_report(&mut self, now: Time, proxy: u32, life: u64, report: TrialReport) {
         if self.reports.len() < 1024 || self.reports.contains_key(&(proxy, life)) {
             self.reports.insert((proxy, life), (now, report));
         }
     }
 
     /// The trial has moved on.
-    pub fn moved(&mut self, now: Time, stage: u32) {
+    pub fn set_stage(&mut self, now: Time, stage: u32) {
         if stage != self.stage {
             (self.stage, self.since) = (stage, now);
-            self.pooled = Watch::new(self.pool().0.iter().map(|arms| arms[1].n).sum());
+            self.pooled = StageTest::new(self.pool().0.iter().map(|arms| arms[1].n).sum());
         }
     }
 
     /// Evidence of all proxies: sums and requests by class.
-    pub fn pool(&self) -> ([[Sums; 2]; CLASSES], [f64; CLASSES]) {
-        let mut sums = [[Sums::default(); 2]; CLASSES];
-        let mut counts = [0.0; CLASSES];
+    pub fn pool(&self) -> ([[Sums; 2]; CLASS_COUNT], [f64; CLASS_COUNT]) {
+        let mut sums = [[Sums::default(); 2]; CLASS_COUNT];
+        let mut counts = [0.0; CLASS_COUNT];
         for (_, report) in self.reports.values() {
             for (all, told) in sums.iter_mut().zip(&report.sums) {
                 for (arm, more) in all.iter_mut().zip(told) {
                     *arm = arm.plus(more);
                 }
             }
-            for (all, told) in counts.iter_mut().zip(&report.counts) {
+            for (all, told) in counts.iter_mut().zip(&report.request_counts) {
                 *all += told;
             }
         }
@@ -104,18 +106,18 @@
     }
 
     /// The evidence in words: by class what each version has, p, and who votes what on the stage.
-    pub fn tell(&self) -> Told {
+    pub fn summary(&self) -> TrialSummary {
         let (sums, counts) = self.pool();
         let (delta, _, _, p) = crate::adjusted_test(&sums, &counts);
         let votes =
             |vote| self.reports.values().filter(|(_, it)| it.stage == self.stage && it.vote == vote).count();
-        Told {
+        TrialSummary {
             delta,
             p,
             classes: sums.iter().map(|arms| [(arms[0].n, arms[0].y), (arms[1].n, arms[1].y)]).collect(),
-            on: votes(Some(Vote::On)),
+            on: votes(Some(Vote::Advance)),
             hold: votes(Some(Vote::Hold)),
-            back: votes(Some(Vote::Back)),
+            back: votes(Some(Vote::RollBack)),
             silent: votes(None),
         }
     }
@@ -123,24 +125,29 @@
     /// What follows now, if anything. `started`: when the newest marshal of the new version registered; `pace`: how long a
     /// stage lasts at least; `latest`: when it has to move on for those that follow to have their time. What looks doubtful does not
     /// move on before that, nor then if there is much doubt: more requests would be shown to it.
-    pub fn step(&mut self, now: Time, started: Time, pace: Time, latest: Time) -> Option<Move> {
+    pub fn decide(&mut self, now: Time, started: Time, pace: Time, latest: Time) -> Option<TrialDecision> {
         let fresh =
             || self.reports.values().filter(|(at, _)| now.saturating_sub(*at) <= FRESH).map(|(_, it)| it);
         let here = || fresh().filter(|report| report.stage == self.stage);
-        let back = fresh().filter(|report| report.vote == Some(Vote::Back)).count() as f64;
+        let back = fresh().filter(|report| report.vote == Some(Vote::RollBack)).count() as f64;
         let all = fresh().count() as f64;
         if back >= (BACK * all).max(2.0) {
-            return Some(Move::Back);
+            return Some(TrialDecision::RollBack);
         }
         let (sums, counts) = self.pool();
-        let clock = clock(self.stage, self.since, started, pace);
-        let pooled =
-            self.pooled.judge(now, &sums, &counts, clock, Hold { until: latest, after: LAST_HOLD_P });
-        if pooled == Some(Vote::Back) {
-            return Some(Move::Back);
+        let clock = earliest_advance(self.stage, self.since, started, pace);
+        let pooled = self.pooled.evaluate(
+            now,
+            &sums,
+            &counts,
+            clock,
+            HoldPolicy { until: latest, after: FINAL_HOLD_P },
+        );
+        if pooled == Some(Vote::RollBack) {
+            return Some(TrialDecision::RollBack);
         }
-        let on = here().filter(|report| report.vote == Some(Vote::On)).count() as f64;
+        let on = here().filter(|report| report.vote == Some(Vote::Advance)).count() as f64;
         let enough = all > 0.0 && on >= ON * all;
-        (now >= clock && pooled == Some(Vote::On) && enough).then_some(Move::On)
+        (now >= clock && pooled == Some(Vote::Advance) && enough).then_some(TrialDecision::Advance)
     }
 }
--- a/crates/sequential-test/tests/population.rs
+++ b/crates/sequential-test/tests/population.rs
@@ -2,8 +2,8 @@
 //! one does. Requests are drawn as one proxy of a fleet sees them.
 
 use milletwing_sequential_test::{
-    cap, clock, latest, pace, Exposure, Hold, Move, Report, Sums, Tally, Time, Watch, CLASSES, COIN, LAST,
-    UNSCORED,
+    earliest_advance, latest_advance, min_stage_duration, stage_cap, ExposureBudget, HoldPolicy, StageTest,
+    Sums, Time, TrialDecision, TrialReport, TrialTally, BURN_IN, CLASS_COUNT, FILL, FINAL_STAGE,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -12,10 +12,10 @@
 type Harm = fn(u32) -> f64;
 
 struct Proxy {
-    sums: [[Sums; 2]; CLASSES],
-    counts: [f64; CLASSES],
-    exposure: Exposure,
-    watch: Watch,
+    sums: [[Sums; 2]; CLASS_COUNT],
+    counts: [f64; CLASS_COUNT],
+    exposure: ExposureBudget,
+    watch: StageTest,
     stage: u32,
     since: Time,
 }
@@ -29,16 +29,16 @@
 }
 
 /// Plays a roll-out. Gives its end, when, and how many requests the new version got.
-fn play(seed: u64, service: Service, failing: f64, harm: Harm) -> (Option<Move>, Time, u32) {
+fn play(seed: u64, service: Service, failing: f64, harm: Harm) -> (Option<TrialDecision>, Time, u32) {
     let Service { proxies, rate, period } = service;
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
-    let pace = pace(period);
-    let mut tally = Tally::new(0, 0);
+    let pace = min_stage_duration(period);
+    let mut tally = TrialTally::new(0, 0);
     let fresh = || Proxy {
         sums: Default::default(),
-        counts: [0.0; CLASSES],
-        exposure: Exposure::default(),
-        watch: Watch::new(0.0),
+        counts: [0.0; CLASS_COUNT],
+        exposure: ExposureBudget::default(),
+        watch: StageTest::new(0.0),
         stage: 0,
         since: 0,
     };
@@ -52,11 +52,11 @@
             let proxy = &mut all[at];
             let class = if chance.random_bool(0.15) { 2 } else { 0 };
             proxy.counts[class] += 1.0;
-            proxy.exposure.request();
-            let new = stage >= LAST
-                || now >= UNSCORED
-                    && chance.random_bool(COIN * cap(stage, 0.1))
-                    && proxy.exposure.take(0.1, 40.0 / (proxies as f64 + 2.0));
+            proxy.exposure.record_request();
+            let new = stage >= FINAL_STAGE
+                || now >= BURN_IN
+                    && chance.random_bool(FILL * stage_cap(stage, 0.1))
+                    && proxy.exposure.try_take(0.1, 40.0 / (proxies as f64 + 2.0));
             let bad = chance.random_bool(if new { (failing + harm(stage)).min(1.0) } else { failing });
             exposed += u32::from(new);
             proxy.sums[class][usize::from(new)].add(f64::from(u8::from(bad)), failing);
@@ -67,34 +67,36 @@
         for (at, proxy) in all.iter_mut().enumerate() {
             if proxy.stage != stage {
                 (proxy.stage, proxy.since) = (stage, now);
-                proxy.watch = Watch::new(proxy.sums.iter().map(|arms| arms[1].n).sum());
+                proxy.watch = StageTest::new(proxy.sums.iter().map(|arms| arms[1].n).sum());
             }
-            let clock = clock(stage, proxy.since, 0, pace);
-            let vote = proxy.watch.judge(
+            let clock = earliest_advance(stage, proxy.since, 0, pace);
+            let vote = proxy.watch.evaluate(
                 now,
                 &proxy.sums,
                 &proxy.counts,
                 clock,
-                Hold { until: clock + pace, after: 0.0 },
+                HoldPolicy { until: clock + pace, after: 0.0 },
             );
-            let report = Report {
+            let report = TrialReport {
                 service: "s".into(),
                 number: 1,
                 stage,
                 sums: proxy.sums,
-                counts: proxy.counts,
+                request_counts: proxy.counts,
                 vote,
             };
             // Every report comes twice: none counts twice.
-            tally.report(now, at as u32, 1, report.clone());
-            tally.report(now, at as u32, 1, report);
+            tally.record_report(now, at as u32, 1, report.clone());
+            tally.record_report(now, at as u32, 1, report);
         }
-        match tally.step(now, 0, pace, latest(stage, period * 19 / 20, pace)) {
-            Some(Move::Back) => return (Some(Move::Back), now, exposed),
-            Some(Move::On) if stage >= LAST => return (Some(Move::On), now, exposed),
-            Some(Move::On) => {
+        match tally.decide(now, 0, pace, latest_advance(stage, period * 19 / 20, pace)) {
+            Some(TrialDecision::RollBack) => return (Some(TrialDecision::RollBack), now, exposed),
+            Some(TrialDecision::Advance) if stage >= FINAL_STAGE => {
+                return (Some(TrialDecision::Advance), now, exposed)
+            }
+            Some(TrialDecision::Advance) => {
                 stage += 1;
-                tally.moved(now, stage);
+                tally.set_stage(now, stage);
             }
             None => {}
         }
@@ -115,8 +117,8 @@
         let Service { proxies, .. } = service;
         let seeds = 1_000;
         let ends: Vec<_> = (0..seeds).map(|seed| play(seed, service, 0.01, |_| 0.0)).collect();
-        let back = ends.iter().filter(|(end, ..)| *end == Some(Move::Back)).count();
-        let on = ends.iter().filter(|(end, ..)| *end == Some(Move::On)).count();
+        let back = ends.iter().filter(|(end, ..)| *end == Some(TrialDecision::RollBack)).count();
+        let on = ends.iter().filter(|(end, ..)| *end == Some(TrialDecision::Advance)).count();
         // The level of a stage is 0.01; there are four, looked at by the core and voted on by two proxies at least.
         assert!(
             back * 100 <= seeds as usize * 4,
@@ -142,7 +144,7 @@
         for (proxies, rate) in [(9, 560.0), (91, 750.0)] {
             let service = Service { proxies, rate, period: 15_000 };
             let ends: Vec<_> = (0..200).map(|seed| play(seed, service, 0.01, harm)).collect();
-            let back = ends.iter().filter(|(end, ..)| *end == Some(Move::Back)).count();
+            let back = ends.iter().filter(|(end, ..)| *end == Some(TrialDecision::RollBack)).count();
             assert!(back >= 190, "{name}, {proxies} proxies: {back} of 200 went back");
             // The bound of the rules over the whole time, and its slack.
             let most = ends.iter().map(|(_, _, exposed)| *exposed).max().unwrap_or(0);
@@ -156,7 +158,7 @@
 #[test]
 fn a_bad_version_at_a_quiet_service_is_not_completed() {
     let ends: Vec<_> = (0..1_000).map(|seed| play(seed, QUIET, 0.01, |_| 0.12)).collect();
-    let completed = ends.iter().filter(|(end, ..)| *end == Some(Move::On)).count();
+    let completed = ends.iter().filter(|(end, ..)| *end == Some(TrialDecision::Advance)).count();
     let over = ends.iter().filter(|(_, _, exposed)| f64::from(*exposed) > bound(QUIET)).count();
     assert_eq!(completed, 0);
     assert!(over * 100 <= 2 * ends.len(), "{over} of {} exposed beyond the bound", ends.len());
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -5,9 +5,9 @@
 use milletwing_consensus::{Id, Message};
 use milletwing_drift_detection::{Digest, Finding, Names, Reflection, Sample, Step};
 use milletwing_metrics::Endpoint;
-use milletwing_outlier_detection::Observed;
+use milletwing_outlier_detection::HostObservation;
 use milletwing_replicated_state::{Beat, Command, EdgeHeartbeat, EdgeStatus};
-use milletwing_sequential_test::Report;
+use milletwing_sequential_test::TrialReport;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::io::{Error, ErrorKind};
@@ -45,13 +45,13 @@
     /// One that isn't a member would be.
     Join,
     /// What an edge told of the trials under way: its number and life.
-    Reports { edge: u32, life: u64, reports: Vec<Report> },
+    Reports { edge: u32, life: u64, reports: Vec<TrialReport> },
     /// What a machine found of an edge that it tells, in this life and zone of it.
     Drift { edge: u32, life: u64, zone: String, finding: Finding },
     /// The digest of what the entries up to this one make.
     ViewDigest(u64, Digest),
     /// What the edges of this machine met at hosts since it told last, by edge, each with the milliseconds since.
-    Observed(Vec<(u32, u64, Vec<Observed>)>),
+    Observed(Vec<(u32, u64, Vec<HostObservation>)>),
 }
 
 /// A call among core machines, as its answer names it.
@@ -124,9 +124,9 @@
     /// The last entry that it has folded.
     pub index: u64,
     /// What it sees of the trials under way.
-    pub reports: Vec<Report>,
+    pub reports: Vec<TrialReport>,
     /// What it met at hosts.
-    pub observed: Vec<Observed>,
+    pub observed: Vec<HostObservation>,
     /// What it routes by, about once a second.
     pub reflection: Option<Reflection>,
     /// A decision of its own, now and then.
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -5,7 +5,7 @@
 use milletwing_config::{Configuration, Settings};
 use milletwing_consensus::{inspect, Entry, Member, Memory, Message, Options, Payload, Role, Stored};
 use milletwing_drift_detection::{Names, Step};
-use milletwing_outlier_detection::Observed;
+use milletwing_outlier_detection::HostObservation;
 use milletwing_replicated_state::{Beat, Command, EdgeStatus, Node, Phase, View};
 use milletwing_wire::{
     frame, read, Answer, CallId, CoreRequest, EdgeReport, FromEdge, Greeting, Peer, ToEdge,
@@ -158,7 +158,7 @@
         edge: heard(),
         index: 3,
         reports: Vec::new(),
-        observed: vec![Observed::default()],
+        observed: vec![HostObservation::default()],
         reflection: None,
         sample: None,
     };
@@ -173,7 +173,7 @@
             edges: vec![(heard(), 40)],
             heartbeats: Vec::new(),
         }),
-        frame(&Peer::Observed(vec![(9, 10, vec![Observed::default()])])),
+        frame(&Peer::Observed(vec![(9, 10, vec![HostObservation::default()])])),
         frame(&FromEdge::Names(Names::default())),
         frame(&FromEdge::Beat(Box::new(said))),
         frame(&ToEdge::Whole(view().packed())),
