--- a/crates/outlier-detection/tests/tally.rs
+++ b/crates/outlier-detection/tests/tally.rs
@@ -161,10 +161,8 @@
 fn late_words_do_not_count() {
     let mut tally = OutlierDetector::default();
     let known = [KnownHost { host: 1, service: "s".into(), ejectable: true, ejected: false }];
-    let observed = |good, lost| {
-        let observed = |answered, unreachable| {
-            [HostObservation { host: 1, answered, unreachable, ..HostObservation::default() }]
-        };
+    let observed = |answered, unreachable| {
+        [HostObservation { host: 1, answered, unreachable, ..HostObservation::default() }]
     };
     for edge in 0..6 {
         tally.record(10_000, edge, ZONES[edge as usize % 3], &observed(0, 1), 900);
