--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -7,7 +7,7 @@
     inspect, Entry, Member, Message, Options, Payload, Role, StateIntegrity, StoredState,
 };
 use milletwing_drift_detection::{LeafHashes, Step};
-use milletwing_outlier_detection::Observed;
+use milletwing_outlier_detection::HostObservation;
 use milletwing_replicated_state::{Beat, Command, EdgeStatus, Node, Phase, View};
 use milletwing_wire::{
     encode_frame, read_frame, Answer, CallId, CoreRequest, EdgeReport, FromEdge, Greeting, PeerMessage,
@@ -167,7 +167,7 @@
         edge: heard(),
         index: 3,
         reports: Vec::new(),
-        observed: vec![Observed::default()],
+        observed: vec![HostObservation::default()],
         table_digest: None,
         sample: None,
     };
@@ -182,7 +182,7 @@
             edges: vec![(heard(), 40)],
             heartbeats: Vec::new(),
         }),
-        encode_frame(&PeerMessage::Observed(vec![(9, 10, vec![Observed::default()])])),
+        encode_frame(&PeerMessage::Observed(vec![(9, 10, vec![HostObservation::default()])])),
         encode_frame(&FromEdge::LeafHashes(LeafHashes::default())),
         encode_frame(&FromEdge::Report(Box::new(said))),
         encode_frame(&ToEdge::Snapshot(view().to_compressed())),
