--- a/crates/edge-proxy/src/attempt.rs
+++ b/crates/edge-proxy/src/attempt.rs
@@ -1,10 +1,13 @@
 //! One sending of a request to a marshal: its connection, the checks of the answer, and the answer's way to the client.
 
-use crate::body::{gather, join, Carry, Cut, Gathered, Upload};
+use crate::body::{buffer_body, concat, BodyError, BufferedBody, OutgoingBody, Upload};
 use crate::edge::Edge;
-use crate::headers::{closes, strip, told_keep_alive, ATTEMPT, LOAD, NOT_EXECUTED, REMAINING, SEAL, TARGET};
-use crate::out::{Out, StallTimer, Streamed};
-use crate::pool::{Lease, NoLease};
+use crate::headers::{
+    closes_connection, keep_alive_timeout, remove_hop_by_hop, ATTEMPT_ID, NODE_LOAD, NOT_EXECUTED,
+    REMAINING_MS, SERVER_SEAL, TARGET_NODE,
+};
+use crate::pool::{AcquireError, Lease};
+use crate::response_body::{ResponseBody, StallTimer, StreamedBody};
 use bytes::Bytes;
 use hyper::body::Body;
 use hyper::header::{self, HeaderValue};
@@ -12,51 +15,53 @@
 use hyper::{Request, Response, Uri, Version};
 use milletwing_config::event;
 use milletwing_routing::table::Route;
-use milletwing_routing::{Load, Result as Ended, Sending, Time};
+use milletwing_routing::{Load, Result as SendResult, Sending, Time};
 use std::error::Error;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
 
 /// What is left until a deadline.
-pub fn left(edge: &Edge, deadline: Time) -> Duration {
+pub fn time_left(edge: &Edge, deadline: Time) -> Duration {
     Duration::from_millis(deadline.saturating_sub(edge.now()))
 }
 
 /// A request's body, for one sending or for several.
-pub enum Source {
-    Whole(Bytes),
-    Once(Option<Box<Upload>>),
+pub enum RequestBody {
+    Buffered(Bytes),
+    Streaming(Option<Box<Upload>>),
 }
 
-impl Source {
+impl RequestBody {
     /// Whether it can be sent once more.
-    pub fn again(&self) -> bool {
-        !matches!(self, Source::Once(None))
+    pub fn can_send(&self) -> bool {
+        !matches!(self, RequestBody::Streaming(None))
     }
 
-    fn carry(&mut self) -> Option<Carry> {
+    fn take(&mut self) -> Option<OutgoingBody> {
         match self {
-            Source::Whole(bytes) => Some(Carry::Whole((!bytes.is_empty()).then(|| bytes.clone()))),
-            Source::Once(upload) => upload.take().map(Carry::Stream),
+            RequestBody::Buffered(bytes) => {
+                Some(OutgoingBody::Buffered((!bytes.is_empty()).then(|| bytes.clone())))
+            }
+            RequestBody::Streaming(upload) => upload.take().map(OutgoingBody::Streaming),
         }
     }
 }
 
 /// A sending that is out: dropped with it, the marshal is free again.
-pub struct Guard {
+pub struct SendGuard {
     edge: Rc<Edge>,
     sending: Option<Sending>,
 }
 
-impl Guard {
+impl SendGuard {
     /// The sending has ended, and its end is told otherwise.
     pub fn disarm(mut self) -> Sending {
         self.sending.take().unwrap_or_else(|| unreachable!("a guard is disarmed once"))
     }
 }
 
-impl Drop for Guard {
+impl Drop for SendGuard {
     fn drop(&mut self) {
         if let Some(sending) = &self.sending {
             self.edge.router.borrow_mut().dropped(self.edge.now(), sending);
@@ -65,143 +70,147 @@
 }
 
 /// How a sending ended.
-pub struct Done {
-    pub guard: Guard,
-    pub result: Ended,
+pub struct AttemptOutcome {
+    pub guard: SendGuard,
+    pub result: SendResult,
     pub load: Option<Load>,
-    pub answer: Option<Answer>,
+    pub answer: Option<MarshalResponse>,
 }
 
 /// A marshal's answer, checked, its beginning here.
-pub struct Answer {
+pub struct MarshalResponse {
     response: Response<()>,
-    body: Gathered,
+    body: BufferedBody,
     lease: Lease,
-    keep: Option<Duration>,
-    exact: Option<u64>,
+    keep_alive: Option<Duration>,
+    exact_size: Option<u64>,
 }
 
 /// Sends a request to a marshal, until its deadline.
 pub fn send<'a>(
     edge: &Rc<Edge>,
     parts: &Parts,
-    source: &mut Source,
+    source: &mut RequestBody,
     sending: Sending,
     deadline: Time,
     id: &'a str,
-) -> impl std::future::Future<Output = Done> + 'a {
+) -> impl std::future::Future<Output = AttemptOutcome> + 'a {
     let edge = Rc::clone(edge);
-    let carry = source.carry();
+    let body = source.take();
     let target = parts.uri.path_and_query().map_or("/", |it| it.as_str()).parse::<Uri>();
     let mut headers = parts.headers.clone();
     let method = parts.method.clone();
-    if let Ok(node) = HeaderValue::from_str(&sending.id) {
-        headers.insert(TARGET, node);
+    if let Ok(node_id) = HeaderValue::from_str(&sending.id) {
+        headers.insert(TARGET_NODE, node_id);
     }
-    let guard = Guard { edge: Rc::clone(&edge), sending: Some(sending.clone()) };
+    let guard = SendGuard { edge: Rc::clone(&edge), sending: Some(sending.clone()) };
     async move {
         let mut load = None;
-        let (result, answer) = match (carry, target) {
-            (Some(carry), Ok(target)) => {
-                let mut request = Request::new(carry);
+        let (result, answer) = match (body, target) {
+            (Some(body), Ok(target)) => {
+                let mut request = Request::new(body);
                 *request.method_mut() = method;
                 *request.uri_mut() = target;
                 *request.headers_mut() = headers;
-                let within = left(&edge, deadline);
-                let asking = ask(&edge, &sending, request, deadline, id, &mut load);
-                match tokio::time::timeout(within, asking).await {
+                let timeout = time_left(&edge, deadline);
+                let exchange = send_and_check(&edge, &sending, request, deadline, id, &mut load);
+                match tokio::time::timeout(timeout, exchange).await {
                     Ok(Ok((result, answer))) => (result, Some(answer)),
                     Ok(Err(result)) => (result, None),
-                    Err(_) => (Ended::Silent, None),
+                    Err(_) => (SendResult::Silent, None),
                 }
             }
-            _ => (Ended::Unsent, None),
+            _ => (SendResult::Unsent, None),
         };
-        Done { guard, result, load, answer }
+        AttemptOutcome { guard, result, load, answer }
     }
 }
 
 /// Sends a request on a connection, and checks the answer's head and beginning.
-async fn ask(
+async fn send_and_check(
     edge: &Rc<Edge>,
     sending: &Sending,
-    mut request: Request<Carry>,
+    mut request: Request<OutgoingBody>,
     deadline: Time,
     id: &str,
     load: &mut Option<Load>,
-) -> Result<(Ended, Answer), Ended> {
-    let mut fresh = false;
+) -> Result<(SendResult, MarshalResponse), SendResult> {
+    let mut new_only = false;
     let (mut lease, response) = loop {
-        let lease = edge.pool.lease(sending, fresh).await;
-        let mut lease = lease.map_err(|why| match why {
-            NoLease::Unreached => Ended::Unreached,
-            NoLease::Busy => Ended::Unsent,
+        let lease = edge.pool.acquire(sending, new_only).await;
+        let mut lease = lease.map_err(|error| match error {
+            AcquireError::ConnectFailed => SendResult::Unreached,
+            AcquireError::AtLimit => SendResult::Unsent,
         })?;
-        let remaining = edge.time_to_work(deadline);
-        request.headers_mut().insert(REMAINING, HeaderValue::from(remaining));
-        lease.unread.begin(left(edge, deadline));
+        let remaining = edge.processing_time_left(deadline);
+        request.headers_mut().insert(REMAINING_MS, HeaderValue::from(remaining));
+        lease.unread.start_message(time_left(edge, deadline));
         if lease.sender.ready().await.is_err() {
-            if lease.used {
-                fresh = true;
+            if lease.reused {
+                new_only = true;
                 continue;
             }
-            return Err(Ended::Unreached);
+            return Err(SendResult::Unreached);
         }
         match lease.sender.try_send_request(request).await {
             Ok(response) => break (lease, response),
-            Err(mut problem) => match problem.take_message() {
+            Err(mut error) => match error.take_message() {
                 // Given back: not a byte of it was written.
-                Some(back) if lease.used => {
-                    request = back;
-                    fresh = true;
+                Some(returned) if lease.reused => {
+                    request = returned;
+                    new_only = true;
                 }
-                Some(_) => return Err(Ended::Unreached),
+                Some(_) => return Err(SendResult::Unreached),
                 None => {
-                    event!(ConnectionBroken, "{id} at {}: {}", sending.id, root_cause(problem.error()));
-                    return Err(Ended::Broken);
+                    event!(ConnectionBroken, "{id} at {}: {}", sending.id, root_cause(error.error()));
+                    return Err(SendResult::Broken);
                 }
             },
         }
     };
     let (parts, body) = response.into_parts();
     let headers = &parts.headers;
-    *load = headers.get(LOAD).and_then(|value| Load::read(value.to_str().ok()?));
-    let own = headers.get(ATTEMPT).map(|echo| echo.as_bytes() == id.as_bytes());
-    let refused = headers.contains_key(NOT_EXECUTED);
-    if own == Some(false) || (own.is_none() && !refused && parts.status != 421) {
-        return Err(Ended::Broken); // another request's answer, or bytes that belong to none
+    *load = headers.get(NODE_LOAD).and_then(|value| Load::read(value.to_str().ok()?));
+    let id_matches = headers.get(ATTEMPT_ID).map(|echoed_id| echoed_id.as_bytes() == id.as_bytes());
+    let not_executed = headers.contains_key(NOT_EXECUTED);
+    if id_matches == Some(false) || (id_matches.is_none() && !not_executed && parts.status != 421) {
+        return Err(SendResult::Broken); // another request's answer, or bytes that belong to none
     }
-    lease.unread.answered();
+    lease.unread.on_response();
     if parts.status == 421 {
-        return Err(Ended::Moved);
+        return Err(SendResult::Moved);
     }
-    if refused && parts.status != 400 {
+    if not_executed && parts.status != 400 {
         // The connection may be used again once the rest has come.
-        let keep = told_keep_alive(headers);
-        let whole = gather(body).await.is_ok_and(|gathered| gathered.rest.is_none());
-        if whole && !closes(headers) {
-            lease.used = true;
-            edge.pool.give_back(lease, keep);
+        let keep_alive = keep_alive_timeout(headers);
+        let complete = buffer_body(body).await.is_ok_and(|body| body.rest.is_none());
+        if complete && !closes_connection(headers) {
+            lease.reused = true;
+            edge.pool.release(lease, keep_alive);
         }
-        return Err(Ended::TurnedAway);
+        return Err(SendResult::TurnedAway);
     }
-    let exact = body.size_hint().exact();
+    let exact_size = body.size_hint().exact();
     // An answer without a length ends with its connection: one that is reset is an error of the body, not its end.
-    let framed = exact.is_some() || headers.contains_key(header::TRANSFER_ENCODING);
-    let sealed = headers.contains_key(SEAL) || !parts.status.is_success();
+    let framed = exact_size.is_some() || headers.contains_key(header::TRANSFER_ENCODING);
+    let sealed = headers.contains_key(SERVER_SEAL) || !parts.status.is_success();
     if headers.contains_key(header::CONTENT_ENCODING) || !sealed {
-        return Err(Ended::Broken); // not the marshal's bytes
+        return Err(SendResult::Broken); // not the marshal's bytes
     }
-    let keep = if closes(headers) || !framed { Some(Duration::ZERO) } else { told_keep_alive(headers) };
-    let result = if parts.status.is_server_error() { Ended::Failed } else { Ended::Served };
-    let body = gather(body).await.map_err(|_: Cut| Ended::Broken)?;
+    let keep_alive = if closes_connection(headers) || !framed {
+        Some(Duration::ZERO)
+    } else {
+        keep_alive_timeout(headers)
+    };
+    let result = if parts.status.is_server_error() { SendResult::Failed } else { SendResult::Served };
+    let body = buffer_body(body).await.map_err(|_: BodyError| SendResult::Broken)?;
     let response = Response::from_parts(parts, ());
-    Ok((result, Answer { response, body, lease, keep, exact }))
+    Ok((result, MarshalResponse { response, body, lease, keep_alive, exact_size }))
 }
 
 /// The error below all others: "timed out" is this machine's own verdict, "reset" its peer's.
-fn root_cause(problem: &dyn Error) -> &dyn Error {
-    let mut cause = problem;
+fn root_cause(error: &dyn Error) -> &dyn Error {
+    let mut cause = error;
     while let Some(source) = cause.source() {
         cause = source;
     }
@@ -211,35 +220,40 @@
 /// Gives a marshal's answer to the client, as it is.
 ///
 /// `deadline`: the end of its request's time.
-pub fn deliver(edge: &Rc<Edge>, answer: Answer, route: &Rc<Route>, deadline: Time) -> Response<Out> {
-    let Answer { response, body, lease, keep, exact } = answer;
+pub fn client_response(
+    edge: &Rc<Edge>,
+    answer: MarshalResponse,
+    route: &Rc<Route>,
+    deadline: Time,
+) -> Response<ResponseBody> {
+    let MarshalResponse { response, body, lease, keep_alive, exact_size } = answer;
     let (mut parts, ()) = response.into_parts();
-    strip(&mut parts.headers);
+    remove_hop_by_hop(&mut parts.headers);
     parts.version = Version::HTTP_11;
-    let out = match body.rest {
+    let response_body = match body.rest {
         None => {
-            let bytes = join(body.head);
+            let bytes = concat(body.buffered);
             edge.router.borrow_mut().weighed(route, bytes.len() as u64);
-            edge.pool.give_back(lease, keep);
-            Out::Whole((!bytes.is_empty()).then_some(bytes))
+            edge.pool.release(lease, keep_alive);
+            ResponseBody::Buffered((!bytes.is_empty()).then_some(bytes))
         }
         Some(rest) => {
-            let (noting, route) = (Rc::clone(edge), Rc::clone(route));
-            let at_end = move |whole: bool| {
-                if let (true, Some(exact)) = (whole, exact) {
-                    noting.router.borrow_mut().weighed(&route, exact);
+            let (recorder, route) = (Rc::clone(edge), Rc::clone(route));
+            let on_end = move |complete: bool| {
+                if let (true, Some(exact_size)) = (complete, exact_size) {
+                    recorder.router.borrow_mut().weighed(&route, exact_size);
                 }
             };
-            Out::Stream(Box::new(Streamed {
-                head: body.head,
+            ResponseBody::Streaming(Box::new(StreamedBody {
+                buffered: body.buffered,
                 rest,
-                stall: StallTimer::new(Instant::now() + left(edge, deadline)),
+                stall: StallTimer::new(Instant::now() + time_left(edge, deadline)),
                 lease: Some(lease),
-                keep,
+                keep_alive,
                 edge: Rc::clone(edge),
-                at_end: Some(Box::new(at_end)),
+                on_end: Some(Box::new(on_end)),
             }))
         }
     };
-    Response::from_parts(parts, out)
+    Response::from_parts(parts, response_body)
 }
--- a/crates/edge-proxy/src/watched.rs
+++ b/crates/edge-proxy/src/client_stream.rs
@@ -2,7 +2,7 @@
 //! long it has waited for them.
 
 use crate::framing::Framing;
-use crate::unread::Unread;
+use crate::user_timeout::UnreadTracker;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::pin::Pin;
@@ -13,7 +13,7 @@
 
 /// What a client's connection is at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum At {
+pub enum ConnectionPhase {
     /// Nothing has come since the last answer.
     Idle,
     /// A head has begun.
@@ -24,102 +24,107 @@
 
 /// What was noticed of the bytes that came, for the request that is made of them.
 #[derive(Debug)]
-pub struct Notes {
+pub struct ConnectionState {
     /// Where its heads begin and end, and what they hold.
     pub framing: RefCell<Framing>,
     /// What the connection is at.
-    pub at: Cell<At>,
+    pub phase: Cell<ConnectionPhase>,
     /// Exchanges under way: a request's body may come to its end behind its answer, as the next one comes.
     exchanges: Cell<usize>,
     /// What the client may not have read of its answers.
-    pub unread: Rc<Unread>,
+    pub unread: Rc<UnreadTracker>,
 }
 
 /// A request and its answer: the connection is not idle before both have come to their end.
-pub struct Exchange(Rc<Notes>);
+pub struct Exchange(Rc<ConnectionState>);
 
 impl Exchange {
     /// A request's head has come.
-    pub fn begin(notes: &Rc<Notes>) -> Rc<Exchange> {
-        notes.at.set(At::Request);
-        notes.exchanges.set(notes.exchanges.get() + 1);
-        Rc::new(Exchange(Rc::clone(notes)))
+    pub fn begin(state: &Rc<ConnectionState>) -> Rc<Exchange> {
+        state.phase.set(ConnectionPhase::Request);
+        state.exchanges.set(state.exchanges.get() + 1);
+        Rc::new(Exchange(Rc::clone(state)))
     }
 
     /// What was noticed of its bytes.
-    pub fn notes(&self) -> &Notes {
+    pub fn state(&self) -> &ConnectionState {
         &self.0
     }
 }
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        let left = self.0.exchanges.get().saturating_sub(1);
-        self.0.exchanges.set(left);
-        if left == 0 {
-            self.0.at.set(At::Idle);
+        let remaining = self.0.exchanges.get().saturating_sub(1);
+        self.0.exchanges.set(remaining);
+        if remaining == 0 {
+            self.0.phase.set(ConnectionPhase::Idle);
         }
     }
 }
 
 /// A client's connection, and what was noticed of the bytes that came.
-pub struct Watched<S> {
+pub struct ClientStream<S> {
     stream: S,
-    notes: Rc<Notes>,
-    /// How long it may be idle, and how long a head may take; what `due` was set for.
-    bounds: (Duration, Duration),
-    due: Pin<Box<tokio::time::Sleep>>,
-    set: At,
+    state: Rc<ConnectionState>,
+    /// How long it may be idle, and how long a head may take; what `timer` was set for.
+    timeouts: (Duration, Duration),
+    timer: Pin<Box<tokio::time::Sleep>>,
+    timer_phase: ConnectionPhase,
 }
 
-impl Notes {
+impl ConnectionState {
     /// Of a connection on which nothing has come yet.
-    pub fn new(unread: Rc<Unread>) -> Rc<Notes> {
-        Rc::new(Notes {
+    pub fn new(unread: Rc<UnreadTracker>) -> Rc<ConnectionState> {
+        Rc::new(ConnectionState {
             framing: RefCell::default(),
-            at: Cell::new(At::Idle),
+            phase: Cell::new(ConnectionPhase::Idle),
             exchanges: Cell::new(0),
             unread,
         })
     }
 }
 
-impl<S> Watched<S> {
+impl<S> ClientStream<S> {
     /// Of a connection that may be idle, and take for a head, for so long.
-    pub fn new(stream: S, notes: Rc<Notes>, idle: Duration, guard: Duration) -> Watched<S> {
-        Watched {
+    pub fn new(
+        stream: S,
+        state: Rc<ConnectionState>,
+        idle_timeout: Duration,
+        head_timeout: Duration,
+    ) -> ClientStream<S> {
+        ClientStream {
             stream,
-            notes,
-            bounds: (idle, guard),
-            due: Box::pin(tokio::time::sleep(idle)),
-            set: At::Idle,
+            state,
+            timeouts: (idle_timeout, head_timeout),
+            timer: Box::pin(tokio::time::sleep(idle_timeout)),
+            timer_phase: ConnectionPhase::Idle,
         }
     }
 
     /// Ready once an idle connection, or a head that comes byte by byte, has had its time.
-    fn bounded(&mut self, context: &mut Context<'_>) -> Poll<()> {
-        let at = self.notes.at.get();
-        if at == At::Request {
-            self.set = at;
+    fn poll_timeout(&mut self, context: &mut Context<'_>) -> Poll<()> {
+        let phase = self.state.phase.get();
+        if phase == ConnectionPhase::Request {
+            self.timer_phase = phase;
             return Poll::Pending;
         }
-        if self.set != at {
-            self.set = at;
-            let bound = if at == At::Idle { self.bounds.0 } else { self.bounds.1 };
-            self.due.as_mut().reset(tokio::time::Instant::now() + bound);
+        if self.timer_phase != phase {
+            self.timer_phase = phase;
+            let timeout = if phase == ConnectionPhase::Idle { self.timeouts.0 } else { self.timeouts.1 };
+            self.timer.as_mut().reset(tokio::time::Instant::now() + timeout);
         }
-        self.due.as_mut().poll(context)
+        self.timer.as_mut().poll(context)
     }
 
-    fn notice(&mut self, bytes: &[u8]) {
-        if self.notes.at.get() == At::Idle && !bytes.is_empty() {
-            self.notes.at.set(At::Head);
+    fn observe(&mut self, bytes: &[u8]) {
+        if self.state.phase.get() == ConnectionPhase::Idle && !bytes.is_empty() {
+            self.state.phase.set(ConnectionPhase::Head);
         }
-        self.notes.framing.borrow_mut().follow(bytes);
+        self.state.framing.borrow_mut().observe(bytes);
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Watched<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for ClientStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -128,9 +133,9 @@
         let before = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
         if polled.is_ready() {
-            self.notice(buffer.filled().get(before..).unwrap_or_default());
+            self.observe(buffer.filled().get(before..).unwrap_or_default());
         }
-        if self.bounded(context).is_ready() {
+        if self.poll_timeout(context).is_ready() {
             // No request was taken from it yet, so that nothing is lost: an end, as if the client had ended it.
             buffer.set_filled(before);
             return Poll::Ready(Ok(()));
@@ -139,7 +144,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Watched<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for ClientStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/edge-proxy/src/framing.rs
+++ b/crates/edge-proxy/src/framing.rs
@@ -4,48 +4,48 @@
 use std::collections::VecDeque;
 
 /// Bytes of a line that are looked at: enough for the name and value of a field of framing, or a chunk's size.
-const LINE: usize = 96;
+const MAX_LINE_PREFIX: usize = 96;
 /// Most digits of a chunk's size.
-const MOST_SIZE_DIGITS: usize = 15;
+const MAX_CHUNK_SIZE_DIGITS: usize = 15;
 
 /// What one head held.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct HeadNotes {
+pub struct HeadFindings {
     /// A `Content-Length` beside a `Transfer-Encoding`: nobody can say where the request ends.
-    pub two_framings: bool,
+    pub conflicting_framing: bool,
     /// A line ended without a carriage return: others may see another head in it.
-    pub bare_line: bool,
+    pub bare_line_feed: bool,
 }
 
 /// Follows a connection's bytes as they come, in pieces of any size.
 #[derive(Debug, Default)]
 pub struct Framing {
-    part: Part,
+    state: State,
     line: Line,
     /// Heads that have ended and whose requests were not taken yet: as many as the reader's buffer holds at most.
-    heads: VecDeque<HeadNotes>,
+    findings: VecDeque<HeadFindings>,
 }
 
 /// What the next byte belongs to.
 #[derive(Debug)]
-enum Part {
+enum State {
     Head(Head),
     /// So many bytes more of a body or a chunk, then what follows.
-    Bytes(u64, Then),
+    Bytes(u64, AfterBytes),
     ChunkSize,
     Trailers,
     /// It can't be told: the reader refuses such a request, or this connection's next one is refused.
     Unknown,
 }
 
-impl Default for Part {
-    fn default() -> Part {
-        Part::Head(Head::default())
+impl Default for State {
+    fn default() -> State {
+        State::Head(Head::default())
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Then {
+enum AfterBytes {
     Head,
     ChunkSize,
 }
@@ -54,16 +54,16 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Head {
     /// A line had something in it: empty ones before the first are passed over.
-    begun: bool,
-    bare_line: bool,
+    started: bool,
+    bare_line_feed: bool,
     chunked: bool,
-    length: Option<Option<u64>>,
+    content_length: Option<Option<u64>>,
 }
 
 /// The line that is coming.
 #[derive(Debug, Default)]
 struct Line {
-    start: Vec<u8>,
+    prefix: Vec<u8>,
     bytes: usize,
     last: u8,
 }
@@ -73,93 +73,96 @@
     fn take(&mut self, bytes: &[u8]) -> (usize, bool) {
         let end = memchr::memchr(b'\n', bytes);
         let taken = bytes.get(..end.unwrap_or(bytes.len())).unwrap_or_default();
-        let room = LINE.saturating_sub(self.start.len()).min(taken.len());
-        self.start.extend_from_slice(taken.get(..room).unwrap_or_default());
+        let kept = MAX_LINE_PREFIX.saturating_sub(self.prefix.len()).min(taken.len());
+        self.prefix.extend_from_slice(taken.get(..kept).unwrap_or_default());
         self.bytes += taken.len();
         self.last = taken.last().copied().unwrap_or(self.last);
         (taken.len() + usize::from(end.is_some()), end.is_some())
     }
 
-    fn is_bare(&self) -> bool {
+    fn lacks_carriage_return(&self) -> bool {
         self.bytes == 0 || self.last != b'\r'
     }
 
     fn is_empty(&self) -> bool {
-        self.bytes == usize::from(!self.is_bare())
+        self.bytes == usize::from(!self.lacks_carriage_return())
     }
 
     /// The name of a field, and its value without the space around it.
     fn field(&self) -> Option<(&[u8], &[u8])> {
-        let colon = memchr::memchr(b':', &self.start)?;
-        let (name, value) = self.start.split_at_checked(colon)?;
+        let colon = memchr::memchr(b':', &self.prefix)?;
+        let (name, value) = self.prefix.split_at_checked(colon)?;
         Some((name, value.get(1..)?.trim_ascii()))
     }
 
     /// The size of a chunk, where it can be read.
     fn chunk_size(&self) -> Option<u64> {
-        let digits = self.start.iter().take_while(|byte| byte.is_ascii_hexdigit()).count();
-        let text = std::str::from_utf8(self.start.get(..digits)?).ok()?;
-        (digits <= MOST_SIZE_DIGITS).then(|| u64::from_str_radix(text, 16).ok())?
+        let digits = self.prefix.iter().take_while(|byte| byte.is_ascii_hexdigit()).count();
+        let text = std::str::from_utf8(self.prefix.get(..digits)?).ok()?;
+        (digits <= MAX_CHUNK_SIZE_DIGITS).then(|| u64::from_str_radix(text, 16).ok())?
     }
 
     fn clear(&mut self) {
-        self.start.clear();
+        self.prefix.clear();
         (self.bytes, self.last) = (0, 0);
     }
 }
 
 impl Head {
     /// A line of it has ended. Gives whether the head has.
-    fn line(&mut self, line: &Line) -> bool {
-        self.bare_line |= line.is_bare();
+    fn add_line(&mut self, line: &Line) -> bool {
+        self.bare_line_feed |= line.lacks_carriage_return();
         if line.is_empty() {
-            return self.begun;
+            return self.started;
         }
-        if let Some((name, value)) = line.field().filter(|_| self.begun) {
+        if let Some((name, value)) = line.field().filter(|_| self.started) {
             if name.eq_ignore_ascii_case(b"content-length") {
-                let whole = line.bytes <= LINE;
-                let text = std::str::from_utf8(value).ok().filter(|_| whole);
-                self.length = Some(text.and_then(|text| text.parse().ok()));
+                let complete = line.bytes <= MAX_LINE_PREFIX;
+                let text = std::str::from_utf8(value).ok().filter(|_| complete);
+                self.content_length = Some(text.and_then(|text| text.parse().ok()));
             }
             self.chunked |= name.eq_ignore_ascii_case(b"transfer-encoding");
         }
-        self.begun = true;
+        self.started = true;
         false
     }
 
-    fn notes(&self) -> HeadNotes {
-        HeadNotes { two_framings: self.chunked && self.length.is_some(), bare_line: self.bare_line }
+    fn findings(&self) -> HeadFindings {
+        HeadFindings {
+            conflicting_framing: self.chunked && self.content_length.is_some(),
+            bare_line_feed: self.bare_line_feed,
+        }
     }
 
     /// What comes behind it.
-    fn body(&self) -> Part {
-        match (self.chunked, self.length) {
-            (true, _) => Part::ChunkSize,
-            (false, Some(Some(0)) | None) => Part::default(),
-            (false, Some(Some(length))) => Part::Bytes(length, Then::Head),
-            (false, Some(None)) => Part::Unknown,
+    fn body(&self) -> State {
+        match (self.chunked, self.content_length) {
+            (true, _) => State::ChunkSize,
+            (false, Some(Some(0)) | None) => State::default(),
+            (false, Some(Some(content_length))) => State::Bytes(content_length, AfterBytes::Head),
+            (false, Some(None)) => State::Unknown,
         }
     }
 }
 
 impl Framing {
     /// Takes what has come.
-    pub fn follow(&mut self, mut bytes: &[u8]) {
+    pub fn observe(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            let taken = match &mut self.part {
-                Part::Unknown => return,
-                Part::Bytes(left, then) => {
+            let taken = match &mut self.state {
+                State::Unknown => return,
+                State::Bytes(left, next) => {
                     let taken = bytes.len().min(usize::try_from(*left).unwrap_or(usize::MAX));
                     *left -= taken as u64;
                     if *left == 0 {
-                        self.part = match then {
-                            Then::Head => Part::default(),
-                            Then::ChunkSize => Part::ChunkSize,
+                        self.state = match next {
+                            AfterBytes::Head => State::default(),
+                            AfterBytes::ChunkSize => State::ChunkSize,
                         };
                     }
                     taken
                 }
-                Part::Head(_) | Part::ChunkSize | Part::Trailers => {
+                State::Head(_) | State::ChunkSize | State::Trailers => {
                     let (taken, ended) = self.line.take(bytes);
                     if ended {
                         self.line_ended();
@@ -173,26 +176,26 @@
     }
 
     fn line_ended(&mut self) {
-        let next = match &mut self.part {
-            Part::Head(head) => head.line(&self.line).then(|| {
-                self.heads.push_back(head.notes());
+        let next = match &mut self.state {
+            State::Head(head) => head.add_line(&self.line).then(|| {
+                self.findings.push_back(head.findings());
                 head.body()
             }),
-            Part::ChunkSize => Some(match self.line.chunk_size() {
-                Some(0) => Part::Trailers,
+            State::ChunkSize => Some(match self.line.chunk_size() {
+                Some(0) => State::Trailers,
                 // The line's end behind the chunk is none of its size.
-                Some(size) => Part::Bytes(size + 2, Then::ChunkSize),
-                None => Part::Unknown,
+                Some(size) => State::Bytes(size + 2, AfterBytes::ChunkSize),
+                None => State::Unknown,
             }),
-            Part::Trailers => self.line.is_empty().then(Part::default),
-            Part::Bytes(..) | Part::Unknown => None,
+            State::Trailers => self.line.is_empty().then(State::default),
+            State::Bytes(..) | State::Unknown => None,
         };
-        self.part = next.unwrap_or_else(|| std::mem::take(&mut self.part));
+        self.state = next.unwrap_or_else(|| std::mem::take(&mut self.state));
     }
 
     /// What was noticed of the head of the request that is taken now; nothing where it could not be followed.
-    pub fn next_head(&mut self) -> Option<HeadNotes> {
-        self.heads.pop_front()
+    pub fn next_findings(&mut self) -> Option<HeadFindings> {
+        self.findings.pop_front()
     }
 }
 
--- a/crates/edge-proxy/src/probes.rs
+++ b/crates/edge-proxy/src/health_probes.rs
@@ -1,6 +1,6 @@
 //! Health of marshals, asked for only while the core is out of reach: nobody else tells an edge then that one has turned cold.
 
-use crate::body::{gather, Carry};
+use crate::body::{buffer_body, OutgoingBody};
 use crate::edge::Edge;
 use hyper::header::{HeaderMap, HeaderValue, HOST};
 use hyper::{Request, StatusCode};
@@ -9,23 +9,24 @@
 use std::time::Duration;
 
 const NODE_ID: &str = "x-milletwing-node-id";
-const WARMUP: &str = "x-milletwing-warmup-ms";
+const WARMUP_MS: &str = "x-milletwing-warmup-ms";
 /// Between two looks at what is due.
-const EVERY: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Probes begun in one of them at most.
-const MOST: usize = 8;
+const MAX_PROBES_PER_POLL: usize = 8;
 /// A health answer that takes longer says nothing: it would be old.
-const PATIENCE: Duration = Duration::from_millis(400);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Asks for as long as the program runs.
 pub async fn run(edge: Rc<Edge>) {
     loop {
-        tokio::time::sleep(EVERY).await;
-        let due = edge.router.borrow_mut().probes(edge.now(), MOST);
+        tokio::time::sleep(POLL_INTERVAL).await;
+        let due = edge.router.borrow_mut().probes(edge.now(), MAX_PROBES_PER_POLL);
         for probe in due {
             let edge = Rc::clone(&edge);
             tokio::task::spawn_local(async move {
-                let warm = tokio::time::timeout(PATIENCE, ask(&edge, &probe)).await.unwrap_or(None);
+                let warm =
+                    tokio::time::timeout(PROBE_TIMEOUT, query_health(&edge, &probe)).await.unwrap_or(None);
                 edge.router.borrow_mut().probed(edge.now(), &probe, warm);
             });
         }
@@ -33,26 +34,27 @@
 }
 
 /// Asks one marshal: warm, cold, or nothing that can be relied on.
-async fn ask(edge: &Rc<Edge>, probe: &Probe) -> Option<bool> {
-    let mut lease = edge.pool.lease(&probe.sending, false).await.ok()?;
+async fn query_health(edge: &Rc<Edge>, probe: &Probe) -> Option<bool> {
+    let mut lease = edge.pool.acquire(&probe.sending, false).await.ok()?;
     lease.sender.ready().await.ok()?;
-    let mut request = Request::new(Carry::Whole(None));
+    let mut request = Request::new(OutgoingBody::Buffered(None));
     *request.uri_mut() = probe.path.parse().ok()?;
     let host = HeaderValue::from_str(&probe.sending.address.to_string()).ok()?;
     request.headers_mut().insert(HOST, host);
     let response = lease.sender.send_request(request).await.ok()?;
     let (status, headers) = (response.status(), response.headers().clone());
-    let body = gather(response.into_body()).await.ok()?;
+    let body = buffer_body(response.into_body()).await.ok()?;
     if body.rest.is_none() {
-        edge.pool.give_back(lease, Some(Duration::ZERO));
+        edge.pool.release(lease, Some(Duration::ZERO));
     }
-    (status == StatusCode::OK).then(|| warm(&headers, &probe.sending.id))?
+    (status == StatusCode::OK).then(|| is_warm(&headers, &probe.sending.id))?
 }
 
 /// What a health answer says of this life; nothing where it is another's.
-fn warm(headers: &HeaderMap, id: &str) -> Option<bool> {
-    let own = headers.get(NODE_ID)?.as_bytes() == id.as_bytes();
-    let left =
-        headers.get(WARMUP).map_or(Some(0.0), |left| left.to_str().ok()?.trim().parse::<f64>().ok())?;
-    own.then_some(left <= 0.0)
+fn is_warm(headers: &HeaderMap, id: &str) -> Option<bool> {
+    let id_matches = headers.get(NODE_ID)?.as_bytes() == id.as_bytes();
+    let warmup_ms = headers
+        .get(WARMUP_MS)
+        .map_or(Some(0.0), |warmup_ms| warmup_ms.to_str().ok()?.trim().parse::<f64>().ok())?;
+    id_matches.then_some(warmup_ms <= 0.0)
 }
--- a/crates/edge-proxy/src/metrics.rs
+++ b/crates/edge-proxy/src/metrics.rs
@@ -3,14 +3,14 @@
 use milletwing_config::configuration::Class;
 use milletwing_config::Kind;
 use milletwing_metrics::{exponential_buckets, Histogram};
-use milletwing_routing::Result as TryResult;
+use milletwing_routing::Result as SendResult;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// The shortest duration that is told apart, in seconds, and how many buckets double it: up to 16 s.
-const SHORTEST_S: f64 = 0.002;
-const BUCKETS: u16 = 14;
+const FIRST_BUCKET_S: f64 = 0.002;
+const BUCKET_COUNT: u16 = 14;
 
 /// Counters of an edge since its process began.
 pub struct Metrics {
@@ -24,14 +24,14 @@
         Metrics {
             requests: RefCell::default(),
             tries: RefCell::default(),
-            durations: Histogram::new(exponential_buckets(SHORTEST_S, 2.0, BUCKETS)),
+            durations: Histogram::new(exponential_buckets(FIRST_BUCKET_S, 2.0, BUCKET_COUNT)),
         }
     }
 }
 
 impl Metrics {
     /// A request has a marshal's answer, of this status class, after so long.
-    pub fn answered(&self, class: Class, status: u16, took: Duration) {
+    pub fn answered(&self, class: Class, status: u16, duration: Duration) {
         let outcome = match status {
             ..=299 => "answered_2xx",
             300..=399 => "answered_3xx",
@@ -39,7 +39,7 @@
             500.. => "answered_5xx",
         };
         *self.requests.borrow_mut().entry((class_label(Some(class)), outcome)).or_default() += 1;
-        self.durations.observe(took.as_secs_f64());
+        self.durations.observe(duration.as_secs_f64());
     }
 
     /// A request ended with this edge's own answer.
@@ -48,8 +48,8 @@
     }
 
     /// One sending of a request ended.
-    pub fn try_ended(&self, result: TryResult) {
-        *self.tries.borrow_mut().entry(try_label(result)).or_default() += 1;
+    pub fn attempt_ended(&self, result: SendResult) {
+        *self.tries.borrow_mut().entry(result_label(result)).or_default() += 1;
     }
 }
 
@@ -83,16 +83,16 @@
     }
 }
 
-fn try_label(result: TryResult) -> &'static str {
+fn result_label(result: SendResult) -> &'static str {
     match result {
-        TryResult::Served => "served",
-        TryResult::Failed => "failed",
-        TryResult::TurnedAway => "turned_away",
-        TryResult::Moved => "moved",
-        TryResult::Unreached => "unreached",
-        TryResult::Unsent => "unsent",
-        TryResult::Broken => "broken",
-        TryResult::Silent => "silent",
-        TryResult::Dropped => "dropped",
+        SendResult::Served => "served",
+        SendResult::Failed => "failed",
+        SendResult::TurnedAway => "turned_away",
+        SendResult::Moved => "moved",
+        SendResult::Unreached => "unreached",
+        SendResult::Unsent => "unsent",
+        SendResult::Broken => "broken",
+        SendResult::Silent => "silent",
+        SendResult::Dropped => "dropped",
     }
 }
--- a/crates/edge-proxy/src/metrics_page.rs
+++ b/crates/edge-proxy/src/metrics_page.rs
@@ -10,13 +10,13 @@
     let mut page = Page::new("milletwing_edge");
     let metrics = &edge.metrics;
     let requests = metrics.requests.borrow();
-    let label = |class: &&'static str, outcome: &&'static str| -> Labels {
+    let labels = |class: &&'static str, outcome: &&'static str| -> Labels {
         vec![("class", (*class).to_owned()), ("outcome", (*outcome).to_owned())]
     };
     page.counters(
         "requests",
         "Requests of clients by class of their route and outcome",
-        requests.iter().map(|((class, outcome), count)| (label(class, outcome), *count)),
+        requests.iter().map(|((class, outcome), count)| (labels(class, outcome), *count)),
     );
     let tries = metrics.tries.borrow();
     page.counters(
@@ -31,8 +31,8 @@
     let view = edge.view.borrow();
     page.gauge("configuration_revision", "Version of the configuration in force", view.revision as f64);
     page.gauge("folded_index", "Last entry of the core's log that is in force", view.index as f64);
-    let since = edge.router.borrow().silence_of_core(edge.now());
-    page.gauge("core_silence_seconds", "Since the core was heard last", since as f64 / 1_000.0);
+    let core_silence_ms = edge.router.borrow().silence_of_core(edge.now());
+    page.gauge("core_silence_seconds", "Since the core was heard last", core_silence_ms as f64 / 1_000.0);
     let mut phases = BTreeMap::from([("warm", 0_u64), ("cold", 0), ("draining", 0), ("ejected", 0)]);
     for node in view.nodes.values() {
         let phase = match node.phase {
--- a/crates/edge-proxy/src/pool.rs
+++ b/crates/edge-proxy/src/pool.rs
@@ -1,8 +1,8 @@
 //! Connections to marshals: one request at a time on each, the one used last first, none that its marshal may be about
 //! to close.
 
-use crate::body::Carry;
-use crate::unread::{BoundedStream, Unread};
+use crate::body::OutgoingBody;
+use crate::user_timeout::{AdaptiveTimeoutStream, UnreadTracker};
 use ahash::RandomState;
 use futures_util::future::LocalBoxFuture;
 use hashbrown::HashMap;
@@ -17,136 +17,143 @@
 use tokio::time::Instant;
 
 /// A marshal's host that acknowledges nothing for so long has no power, or is cut off.
-const SILENCE: Duration = Duration::from_millis(700);
+const SILENT_HOST_TIMEOUT: Duration = Duration::from_millis(700);
 /// A connection that doesn't come up in this time is given up.
-const DIAL: Duration = Duration::from_millis(350);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 /// Idle connections are used no longer than this, or than half of what the marshal tells: what is sent on one that was
 /// just closed may have run.
-const IDLE: Duration = Duration::from_secs(4);
+const MAX_IDLE: Duration = Duration::from_secs(4);
 
 /// Bytes of the head of a marshal's answer, at most.
-const MOST_HEAD: usize = 32 << 10;
+const MAX_RESPONSE_HEAD: usize = 32 << 10;
 
-struct Idle {
-    sender: SendRequest<Carry>,
-    unread: Rc<Unread>,
-    until: Instant,
+struct IdleConnection {
+    sender: SendRequest<OutgoingBody>,
+    unread: Rc<UnreadTracker>,
+    usable_until: Instant,
 }
 
 #[derive(Default)]
-struct Host {
-    idle: Vec<Idle>,
-    open: Rc<Cell<usize>>,
+struct MarshalConnections {
+    idle: Vec<IdleConnection>,
+    open_count: Rc<Cell<usize>>,
 }
 
 /// What a connection runs on.
-pub trait Wire: AsyncRead + AsyncWrite + Unpin {}
-impl<S: AsyncRead + AsyncWrite + Unpin> Wire for S {}
+pub trait Transport: AsyncRead + AsyncWrite + Unpin {}
+impl<S: AsyncRead + AsyncWrite + Unpin> Transport for S {}
 
 /// Makes a connection to an address, or gives up in its time. What its peer may not have read is noted for it.
-pub type Dial =
-    Box<dyn Fn(SocketAddrV4, Rc<Unread>) -> LocalBoxFuture<'static, std::io::Result<Box<dyn Wire>>>>;
+pub type Connector = Box<
+    dyn Fn(SocketAddrV4, Rc<UnreadTracker>) -> LocalBoxFuture<'static, std::io::Result<Box<dyn Transport>>>,
+>;
 
 /// All connections, by marshal.
 pub struct Pool {
-    hosts: RefCell<HashMap<u64, Host, RandomState>>,
-    dial: Dial,
+    by_marshal: RefCell<HashMap<u64, MarshalConnections, RandomState>>,
+    connect: Connector,
 }
 
 /// A connection in use; it goes back to the pool by [`Pool::give_back`], or is closed when dropped.
 pub struct Lease {
-    pub sender: SendRequest<Carry>,
+    pub sender: SendRequest<OutgoingBody>,
     pub marshal: u64,
     /// What the marshal may not have read yet.
-    pub unread: Rc<Unread>,
+    pub unread: Rc<UnreadTracker>,
     /// It has carried a request before.
-    pub used: bool,
+    pub reused: bool,
 }
 
 /// Why there is no connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoLease {
+pub enum AcquireError {
     /// None came up.
-    Unreached,
+    ConnectFailed,
     /// As many as this edge may hold are in use.
-    Busy,
+    AtLimit,
 }
 
 /// Connections over TCP.
-pub fn tcp() -> Dial {
-    Box::new(|to, unread| {
+pub fn tcp_connector() -> Connector {
+    Box::new(|address, unread| {
         Box::pin(async move {
-            let stream = milletwing_wire::dial(to, DIAL).await?;
-            Ok(Box::new(BoundedStream::new(stream, unread)?) as Box<dyn Wire>)
+            let stream = milletwing_wire::dial(address, CONNECT_TIMEOUT).await?;
+            Ok(Box::new(AdaptiveTimeoutStream::new(stream, unread)?) as Box<dyn Transport>)
         })
     })
 }
 
 impl Pool {
-    /// No connections yet; `dial` makes them.
-    pub fn new(dial: Dial) -> Pool {
-        Pool { hosts: RefCell::default(), dial }
+    /// No connections yet; `connect` makes them.
+    pub fn new(connect: Connector) -> Pool {
+        Pool { by_marshal: RefCell::default(), connect }
     }
 
-    /// A connection to a marshal. `fresh`: a new one.
-    pub async fn lease(&self, sending: &Sending, fresh: bool) -> Result<Lease, NoLease> {
-        let open = {
-            let mut hosts = self.hosts.borrow_mut();
-            let host = hosts.entry(sending.marshal).or_default();
+    /// A connection to a marshal. `new_only`: a new one.
+    pub async fn acquire(&self, sending: &Sending, new_only: bool) -> Result<Lease, AcquireError> {
+        let open_count = {
+            let mut by_marshal = self.by_marshal.borrow_mut();
+            let connections = by_marshal.entry(sending.marshal).or_default();
             let now = Instant::now();
-            while let Some(idle) = host.idle.pop() {
-                if !fresh && now < idle.until && idle.sender.is_ready() {
-                    let Idle { sender, unread, .. } = idle;
-                    return Ok(Lease { sender, marshal: sending.marshal, unread, used: true });
+            while let Some(idle) = connections.idle.pop() {
+                if !new_only && now < idle.usable_until && idle.sender.is_ready() {
+                    let IdleConnection { sender, unread, .. } = idle;
+                    return Ok(Lease { sender, marshal: sending.marshal, unread, reused: true });
                 }
             }
-            if host.open.get() >= sending.connections {
-                return Err(NoLease::Busy);
+            if connections.open_count.get() >= sending.connections {
+                return Err(AcquireError::AtLimit);
             }
-            host.open.set(host.open.get() + 1);
-            Rc::clone(&host.open)
+            connections.open_count.set(connections.open_count.get() + 1);
+            Rc::clone(&connections.open_count)
         };
-        let count = Count(open);
-        let unread = Unread::new(SILENCE);
-        let stream =
-            (self.dial)(sending.address, Rc::clone(&unread)).await.map_err(|_| NoLease::Unreached)?;
+        let open_guard = OpenCount(open_count);
+        let unread = UnreadTracker::new(SILENT_HOST_TIMEOUT);
+        let stream = (self.connect)(sending.address, Rc::clone(&unread))
+            .await
+            .map_err(|_| AcquireError::ConnectFailed)?;
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(MOST_HEAD).writev(false);
+        builder.max_buf_size(MAX_RESPONSE_HEAD).writev(false);
         let (sender, connection) =
-            builder.handshake(TokioIo::new(stream)).await.map_err(|_| NoLease::Unreached)?;
+            builder.handshake(TokioIo::new(stream)).await.map_err(|_| AcquireError::ConnectFailed)?;
         tokio::task::spawn_local(async move {
             let _ = connection.await; // whoever uses it hears of its end
-            drop(count);
+            drop(open_guard);
         });
-        Ok(Lease { sender, marshal: sending.marshal, unread, used: false })
+        Ok(Lease { sender, marshal: sending.marshal, unread, reused: false })
     }
 
-    /// A connection whose answer has ended whole. `keep`: for how long its marshal says that it keeps it.
+    /// A connection whose answer has ended whole. `keep_alive`: for how long its marshal says that it keeps it.
     ///
     /// A marshal may answer a large request before it has read its body, and the next one would wait behind that.
-    pub fn give_back(&self, lease: Lease, keep: Option<Duration>) {
-        if lease.sender.is_closed() || lease.unread.is_large() {
+    pub fn release(&self, lease: Lease, keep_alive: Option<Duration>) {
+        if lease.sender.is_closed() || lease.unread.may_exceed_window() {
             return;
         }
-        let until = Instant::now() + keep.map_or(IDLE, |keep| (keep / 2).min(IDLE));
-        if let Some(host) = self.hosts.borrow_mut().get_mut(&lease.marshal) {
+        let usable_until =
+            Instant::now() + keep_alive.map_or(MAX_IDLE, |keep_alive| (keep_alive / 2).min(MAX_IDLE));
+        if let Some(connections) = self.by_marshal.borrow_mut().get_mut(&lease.marshal) {
             // The newest is used first; what the load no longer needs runs out of time at the bottom.
             let now = Instant::now();
-            host.idle.retain(|idle| idle.until > now && !idle.sender.is_closed());
-            host.idle.push(Idle { sender: lease.sender, unread: lease.unread, until });
+            connections.idle.retain(|idle| idle.usable_until > now && !idle.sender.is_closed());
+            connections.idle.push(IdleConnection {
+                sender: lease.sender,
+                unread: lease.unread,
+                usable_until,
+            });
         }
     }
 
     /// Drops what belongs to marshals that are gone.
-    pub fn forget(&self, known: impl Fn(u64) -> bool) {
-        self.hosts.borrow_mut().retain(|marshal, _| known(*marshal));
+    pub fn retain_marshals(&self, is_known: impl Fn(u64) -> bool) {
+        self.by_marshal.borrow_mut().retain(|marshal, _| is_known(*marshal));
     }
 }
 
 /// Counts a connection for as long as it lives.
-struct Count(Rc<Cell<usize>>);
+struct OpenCount(Rc<Cell<usize>>);
 
-impl Drop for Count {
+impl Drop for OpenCount {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
--- a/crates/edge-proxy/src/relay.rs
+++ b/crates/edge-proxy/src/relay.rs
@@ -1,13 +1,13 @@
 //! One request from its head to its answer. What to do is `router`'s word; here it is done: bytes are sent, answers are
 //! checked, clocks run.
 
-use crate::attempt::{deliver, left, send, Answer, Done, Source};
-use crate::body::{gather, join, Gathered, Upload};
+use crate::attempt::{client_response, send, time_left, AttemptOutcome, MarshalResponse, RequestBody};
+use crate::body::{buffer_body, concat, BufferedBody, Upload};
+use crate::client_stream::Exchange;
 use crate::edge::Edge;
-use crate::headers::{introduce, key, strip, ATTEMPT, KEY_SCHEME, REMAINING};
-use crate::out::Out;
-use crate::validation::check;
-use crate::watched::Exchange;
+use crate::headers::{remove_hop_by_hop, set_tenant, tenant_key, ATTEMPT_ID, KEY_SCHEME, REMAINING_MS};
+use crate::response_body::ResponseBody;
+use crate::validation::check_request;
 use bytes::Bytes;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use hyper::body::Incoming;
@@ -17,43 +17,47 @@
 use milletwing_config::configuration::Class;
 use milletwing_config::{event, Kind};
 use milletwing_routing::table::Route;
-use milletwing_routing::{Head, Result as Ended, Sending, Ticket};
+use milletwing_routing::{Head, Result as SendResult, Sending, Ticket};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
 
 /// Seconds after which a client may come back elsewhere, where other machines have room.
-const ELSEWHERE_S: f64 = 0.02;
+const RETRY_ELSEWHERE_S: f64 = 0.02;
 /// Requests under way at once; more are refused, so that their memory is bounded.
-const MOST: usize = 1_500;
+const MAX_REQUESTS: usize = 1_500;
 
-struct Counted(Rc<Edge>);
+struct RequestCount(Rc<Edge>);
 
-impl Drop for Counted {
+impl Drop for RequestCount {
     fn drop(&mut self) {
         self.0.requests.set(self.0.requests.get().saturating_sub(1));
     }
 }
 
 /// Answers a request.
-pub async fn answer(edge: Rc<Edge>, request: Request<Incoming>, exchange: &Rc<Exchange>) -> Response<Out> {
+pub async fn answer(
+    edge: Rc<Edge>,
+    request: Request<Incoming>,
+    exchange: &Rc<Exchange>,
+) -> Response<ResponseBody> {
     edge.requests.set(edge.requests.get() + 1);
-    let counted = Counted(Rc::clone(&edge));
-    let begun = tokio::time::Instant::now();
+    let request_count = RequestCount(Rc::clone(&edge));
+    let started = tokio::time::Instant::now();
     let result = relay(&edge, request, exchange).await;
-    drop(counted);
+    drop(request_count);
     let mut response = match result {
         Ok((response, class)) => {
-            edge.metrics.answered(class, response.status().as_u16(), begun.elapsed());
+            edge.metrics.answered(class, response.status().as_u16(), started.elapsed());
             response
         }
         Err(Refusal { kind, id, route }) => {
             event!(RequestEnded, "{id}: {kind}");
             edge.metrics.refused(route.as_ref().map(|route| route.class), &kind);
-            refused(&edge, &kind, route.as_deref())
+            refusal_response(&edge, &kind, route.as_deref())
         }
     };
-    if edge.leaving.get().is_some() {
+    if edge.shutdown.get().is_some() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response
@@ -65,18 +69,19 @@
     route: Option<Rc<Route>>,
 }
 
-fn refused(edge: &Edge, kind: &Kind, route: Option<&Route>) -> Response<Out> {
+fn refusal_response(edge: &Edge, kind: &Kind, route: Option<&Route>) -> Response<ResponseBody> {
     let answer = kind.answer();
-    let mut response = Response::new(Out::Whole(Some(Bytes::from(format!("{kind}\n")))));
+    let mut response = Response::new(ResponseBody::Buffered(Some(Bytes::from(format!("{kind}\n")))));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or_default();
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     if answer.again {
-        let elsewhere = matches!(kind, Kind::Leaving);
-        let wait = if elsewhere { ELSEWHERE_S } else { edge.router.borrow_mut().back(route) };
-        let wait = format!("{wait:.3}");
-        if let Ok(wait) = HeaderValue::from_str(&wait) {
-            headers.insert(header::RETRY_AFTER, wait);
+        let retry_elsewhere = matches!(kind, Kind::Leaving);
+        let retry_after =
+            if retry_elsewhere { RETRY_ELSEWHERE_S } else { edge.router.borrow_mut().back(route) };
+        let retry_after = format!("{retry_after:.3}");
+        if let Ok(retry_after) = HeaderValue::from_str(&retry_after) {
+            headers.insert(header::RETRY_AFTER, retry_after);
         }
     }
     if matches!(kind, Kind::UnknownKey) {
@@ -90,15 +95,15 @@
 }
 
 /// A request that was read, and may be sent.
-struct Prepared {
+struct PreparedRequest {
     parts: Parts,
-    source: Source,
+    body: RequestBody,
     ticket: Ticket,
     host: String,
     id: String,
 }
 
-impl Prepared {
+impl PreparedRequest {
     fn refuse(&self, kind: Kind) -> Refusal {
         Refusal { kind, id: self.id.clone(), route: Some(Rc::clone(&self.ticket.route)) }
     }
@@ -109,51 +114,57 @@
     edge: &Rc<Edge>,
     request: Request<Incoming>,
     exchange: &Rc<Exchange>,
-) -> Result<Prepared, Refusal> {
+) -> Result<PreparedRequest, Refusal> {
     let (mut parts, body) = request.into_parts();
-    let id = parts.headers.get(ATTEMPT).and_then(|id| id.to_str().ok()).unwrap_or("").to_owned();
+    let id = parts.headers.get(ATTEMPT_ID).and_then(|id| id.to_str().ok()).unwrap_or("").to_owned();
     let refuse =
         |kind: Kind, route: Option<&Rc<Route>>| Refusal { kind, id: id.clone(), route: route.cloned() };
-    let most_body = check(edge, &parts, &body, exchange.notes()).map_err(|kind| refuse(kind, None))?;
-    if edge.requests.get() > MOST {
+    let max_body = check_request(edge, &parts, &body, exchange.state()).map_err(|kind| refuse(kind, None))?;
+    if edge.requests.get() > MAX_REQUESTS {
         return Err(refuse(Kind::Full, None));
     }
     let host = parts.headers.get(header::HOST).and_then(|host| host.to_str().ok());
     let host = host.or(parts.uri.host()).unwrap_or("").to_owned();
-    let remaining = parts.headers.get(REMAINING).and_then(|left| left.to_str().ok()?.trim().parse().ok());
+    let remaining_ms =
+        parts.headers.get(REMAINING_MS).and_then(|value| value.to_str().ok()?.trim().parse().ok());
     let ticket = {
         let mut router = edge.router.borrow_mut();
-        let head = Head { host: &host, path: parts.uri.path(), remaining, key: key(&parts.headers) };
+        let head = Head {
+            host: &host,
+            path: parts.uri.path(),
+            remaining: remaining_ms,
+            key: tenant_key(&parts.headers),
+        };
         let ticket = router.arrive(edge.now(), head).map_err(|kind| refuse(kind, None))?;
         // Before what is told of the tenant: a client may name that field as one of its connection.
-        strip(&mut parts.headers);
+        remove_hop_by_hop(&mut parts.headers);
         // At once, by the configuration that the request was let in by: while its body comes, another may take its place.
-        introduce(&mut parts.headers, ticket.tenant.as_ref().map(|tenant| &*tenant.name), router.keyed());
+        set_tenant(&mut parts.headers, ticket.tenant.as_ref().map(|tenant| &*tenant.name), router.keyed());
         ticket
     };
     let route = &ticket.route;
-    let time_left = left(edge, ticket.deadline);
-    let over = Instant::now() + time_left;
-    exchange.notes().unread.begin(time_left);
-    let gathering = tokio::time::timeout_at(over, gather(body));
-    let gathered = match gathering.await {
-        Ok(Ok(gathered)) => gathered,
+    let time_left = time_left(edge, ticket.deadline);
+    let deadline = Instant::now() + time_left;
+    exchange.state().unread.start_message(time_left);
+    let reading = tokio::time::timeout_at(deadline, buffer_body(body));
+    let read_body = match reading.await {
+        Ok(Ok(read_body)) => read_body,
         Ok(Err(_)) => return Err(refuse(Kind::BadRequest("the body broke off".into()), Some(route))),
         Err(_) => return Err(refuse(Kind::Expired, Some(route))),
     };
     parts.headers.remove(header::CONTENT_LENGTH);
     parts.headers.remove(header::EXPECT);
-    let sized: u64 = gathered.head.iter().map(|bytes| bytes.len() as u64).sum();
-    if sized > most_body {
+    let buffered_bytes: u64 = read_body.buffered.iter().map(|bytes| bytes.len() as u64).sum();
+    if buffered_bytes > max_body {
         return Err(refuse(Kind::BodyTooLarge, Some(route)));
     }
-    let source = match gathered {
-        Gathered { head, rest: None } => Source::Whole(join(head)),
-        Gathered { head, rest: Some(rest) } => {
-            Source::Once(Some(Upload::new(head, rest, most_body, over, Rc::clone(exchange))))
+    let body = match read_body {
+        BufferedBody { buffered, rest: None } => RequestBody::Buffered(concat(buffered)),
+        BufferedBody { buffered, rest: Some(rest) } => {
+            RequestBody::Streaming(Some(Upload::new(buffered, rest, max_body, deadline, Rc::clone(exchange))))
         }
     };
-    Ok(Prepared { parts, source, ticket, host, id })
+    Ok(PreparedRequest { parts, body, ticket, host, id })
 }
 
 /// A marshal's answer with the class of its route, or the kind of this edge's own.
@@ -161,18 +172,18 @@
     edge: &Rc<Edge>,
     request: Request<Incoming>,
     exchange: &Rc<Exchange>,
-) -> Result<(Response<Out>, Class), Refusal> {
+) -> Result<(Response<ResponseBody>, Class), Refusal> {
     let mut prepared = prepare(edge, request, exchange).await?;
     let first = edge.router.borrow_mut().pick(edge.now(), &mut prepared.ticket);
     let first = first.map_err(|kind| prepared.refuse(kind))?;
     // Guards against taking what may not be done before this process ends.
     let expected = edge.router.borrow().may_take(edge.now(), &prepared.ticket, &first);
-    if edge.too_late(expected) {
-        edge.router.borrow_mut().ended(edge.now(), &mut prepared.ticket, &first, Ended::Unsent, None);
+    if edge.is_too_late(expected) {
+        edge.router.borrow_mut().ended(edge.now(), &mut prepared.ticket, &first, SendResult::Unsent, None);
         return Err(prepared.refuse(Kind::Leaving));
     }
-    let about = [prepared.id.as_str(), prepared.host.as_str(), prepared.parts.uri.path()];
-    edge.router.borrow_mut().note(edge.now(), about, &prepared.ticket, &first);
+    let request_info = [prepared.id.as_str(), prepared.host.as_str(), prepared.parts.uri.path()];
+    edge.router.borrow_mut().note(edge.now(), request_info, &prepared.ticket, &first);
     try_marshals(edge, &mut prepared, first).await
 }
 
@@ -180,101 +191,105 @@
 /// no further one may be tried, or its time is over.
 async fn try_marshals(
     edge: &Rc<Edge>,
-    prepared: &mut Prepared,
+    prepared: &mut PreparedRequest,
     first: Sending,
-) -> Result<(Response<Out>, Class), Refusal> {
+) -> Result<(Response<ResponseBody>, Class), Refusal> {
     let (deadline, id) = (prepared.ticket.deadline, prepared.id.clone());
-    let mut over = std::pin::pin!(tokio::time::sleep(left(edge, deadline)));
-    let patience = edge.router.borrow().patience(&prepared.ticket, &first);
-    let mut hedge = std::pin::pin!(tokio::time::sleep(Duration::from_millis(patience.unwrap_or(0))));
-    let mut hedging = patience.is_some() && prepared.source.again();
+    let mut deadline_timer = std::pin::pin!(tokio::time::sleep(time_left(edge, deadline)));
+    let hedge_delay = edge.router.borrow().patience(&prepared.ticket, &first);
+    let mut hedge_timer = std::pin::pin!(tokio::time::sleep(Duration::from_millis(hedge_delay.unwrap_or(0))));
+    let mut hedge_pending = hedge_delay.is_some() && prepared.body.can_send();
     let mut running = FuturesUnordered::new();
-    let mut waiting = first.clone();
-    running.push(send(edge, &prepared.parts, &mut prepared.source, first, deadline, &id));
+    let mut latest = first.clone();
+    running.push(send(edge, &prepared.parts, &mut prepared.body, first, deadline, &id));
     loop {
         tokio::select! {
             biased;
-            Some(done) = running.next() => {
-                let (result, answer) = settle(edge, prepared, done);
-                if result == Ended::Served && answer.is_some() {
-                    return end(edge, prepared, answer, Kind::Broken);
+            Some(outcome) = running.next() => {
+                let (result, answer) = record_outcome(edge, prepared, outcome);
+                if result == SendResult::Served && answer.is_some() {
+                    return final_response(edge, prepared, answer, Kind::Broken);
                 }
-                if prepared.source.again() && edge.router.borrow().again(edge.now(), &prepared.ticket, result) {
+                if prepared.body.can_send() && edge.router.borrow().again(edge.now(), &prepared.ticket, result) {
                     let next = edge.router.borrow_mut().pick(edge.now(), &mut prepared.ticket);
                     match next {
                         Ok(next) => {
                             // The timer of the sending that has ended says nothing of this one.
-                            let patience = edge.router.borrow().patience(&prepared.ticket, &next);
-                            if let Some(patience) = patience {
-                                let until = tokio::time::Instant::now() + Duration::from_millis(patience);
-                                hedge.as_mut().reset(until);
+                            let hedge_delay = edge.router.borrow().patience(&prepared.ticket, &next);
+                            if let Some(hedge_delay) = hedge_delay {
+                                let until = tokio::time::Instant::now() + Duration::from_millis(hedge_delay);
+                                hedge_timer.as_mut().reset(until);
                             }
-                            waiting = next.clone();
-                            running.push(send(edge, &prepared.parts, &mut prepared.source, next, deadline, &id));
-                            hedging = patience.is_some() && prepared.source.again();
+                            latest = next.clone();
+                            running.push(send(edge, &prepared.parts, &mut prepared.body, next, deadline, &id));
+                            hedge_pending = hedge_delay.is_some() && prepared.body.can_send();
                         }
-                        Err(kind) if running.is_empty() => return end(edge, prepared, answer, kind),
+                        Err(kind) if running.is_empty() => return final_response(edge, prepared, answer, kind),
                         Err(_) => {}
                     }
                     continue;
                 }
                 if running.is_empty() {
-                    let kind = last_word(&prepared.ticket, result);
-                    return end(edge, prepared, answer, kind);
+                    let kind = refusal_kind(&prepared.ticket, result);
+                    return final_response(edge, prepared, answer, kind);
                 }
             }
-            _ = hedge.as_mut(), if hedging => {
-                hedging = false;
-                edge.router.borrow_mut().impatient(edge.now(), &waiting);
+            _ = hedge_timer.as_mut(), if hedge_pending => {
+                hedge_pending = false;
+                edge.router.borrow_mut().impatient(edge.now(), &latest);
                 let next = edge.router.borrow_mut().pick(edge.now(), &mut prepared.ticket);
                 if let Ok(next) = next {
-                    running.push(send(edge, &prepared.parts, &mut prepared.source, next, deadline, &id));
+                    running.push(send(edge, &prepared.parts, &mut prepared.body, next, deadline, &id));
                 }
             }
-            _ = over.as_mut() => return Err(prepared.refuse(Kind::Silent)),
+            _ = deadline_timer.as_mut() => return Err(prepared.refuse(Kind::Silent)),
         }
     }
 }
 
 /// Counts the end of a sending for the marshal, and gives what came of it.
-fn settle(edge: &Edge, prepared: &mut Prepared, done: Done) -> (Ended, Option<Answer>) {
-    let Done { guard, result, load, answer } = done;
+fn record_outcome(
+    edge: &Edge,
+    prepared: &mut PreparedRequest,
+    outcome: AttemptOutcome,
+) -> (SendResult, Option<MarshalResponse>) {
+    let AttemptOutcome { guard, result, load, answer } = outcome;
     let sending = guard.disarm();
     let now = edge.now();
-    edge.metrics.try_ended(result);
-    let avoided = edge.router.borrow_mut().ended(now, &mut prepared.ticket, &sending, result, load);
-    if let Some(span) = avoided {
+    edge.metrics.attempt_ended(result);
+    let avoided_ms = edge.router.borrow_mut().ended(now, &mut prepared.ticket, &sending, result, load);
+    if let Some(span) = avoided_ms {
         event!(NodeAvoided, "{} for {span} ms: {result:?}", sending.id);
     }
-    if result != Ended::Served {
-        let took = now - sending.at;
-        event!(TryEnded, "{} at {}: {result:?} after {took} ms", prepared.id, sending.id);
+    if result != SendResult::Served {
+        let duration_ms = now - sending.at;
+        event!(TryEnded, "{} at {}: {result:?} after {duration_ms} ms", prepared.id, sending.id);
     }
     (result, answer)
 }
 
 /// A marshal's own word goes before ours.
-fn end(
+fn final_response(
     edge: &Rc<Edge>,
-    prepared: &Prepared,
-    answer: Option<Answer>,
+    prepared: &PreparedRequest,
+    answer: Option<MarshalResponse>,
     kind: Kind,
-) -> Result<(Response<Out>, Class), Refusal> {
+) -> Result<(Response<ResponseBody>, Class), Refusal> {
     match answer {
         Some(answer) => {
             let route = &prepared.ticket.route;
-            Ok((deliver(edge, answer, route, prepared.ticket.deadline), route.class))
+            Ok((client_response(edge, answer, route, prepared.ticket.deadline), route.class))
         }
         None => Err(prepared.refuse(kind)),
     }
 }
 
 /// What a client is told where no marshal's answer can be.
-fn last_word(ticket: &Ticket, result: Ended) -> Kind {
+fn refusal_kind(ticket: &Ticket, result: SendResult) -> Kind {
     match result {
-        Ended::Silent => Kind::Silent,
+        SendResult::Silent => Kind::Silent,
         _ if ticket.ran => Kind::Broken,
-        Ended::TurnedAway | Ended::Moved => Kind::TurnedAway,
+        SendResult::TurnedAway | SendResult::Moved => Kind::TurnedAway,
         _ => Kind::NoMarshal,
     }
 }
--- a/crates/edge-proxy/src/tests.rs
+++ b/crates/edge-proxy/src/tests.rs
@@ -1,17 +1,17 @@
 //! Marshals that misbehave at each byte, on streams in memory and a clock of the test's own: whose answer a client gets, and what
 //! is sent a second time.
 
-mod answers;
 mod core_silence;
 mod guarantees;
-mod leaving;
+mod responses;
+mod shutdown;
 mod tenants;
 mod uploads;
 
-use crate::edge::{Edge, Leaving};
-use crate::front;
-use crate::pool::{Dial, Wire};
-use crate::unread::Unread;
+use crate::edge::{Edge, ShutdownSchedule};
+use crate::pool::{Connector, Transport};
+use crate::server;
+use crate::user_timeout::UnreadTracker;
 use milletwing_config::Settings;
 use milletwing_replicated_state::{Command, Node, Phase, View};
 use std::cell::RefCell;
@@ -22,13 +22,13 @@
 use tokio::io::{duplex, AsyncReadExt, AsyncWriteExt, DuplexStream};
 
 /// A client that takes nothing is given up after this; streams in memory know no such end.
-const SILENCE: Duration = Duration::from_secs(10);
-const LOOK: &str = "/look/x";
-const ORDER: &str = "/order/x";
+const SILENT_CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
+const IDEMPOTENT: &str = "/look/x";
+const NON_IDEMPOTENT: &str = "/order/x";
 const SETTINGS: &str =
     "[self]\nnodeName = \"edge\"\nipAddress = \"10.0.0.9\"\nzone = \"a\"\nregion = \"north\"\n\
     [network]\ninternalPorts = [7540, 7555]\n[network.zones]\na = \"north\"\n";
-const BODY: &str = r#"{"revision":1,"routing":{
+const CONFIGURATION: &str = r#"{"revision":1,"routing":{
     "look":{"domain":"h","pathPrefix":"/look/","trafficClass":"idempotent","guardS":5,"targetS":1,"target":"s","maxTries":2},
     "order":{"domain":"h","pathPrefix":"/order/","trafficClass":"non_idempotent","guardS":5,"targetS":1,"target":"s","maxTries":2}},
     "targets":{"s":{"maxSessions":110,"warmupS":3,"warmupPerS":26}},
@@ -43,46 +43,46 @@
         self.0.borrow().get(id).copied().unwrap_or(0)
     }
 
-    fn note(&self, id: String) {
+    fn record(&self, id: String) {
         *self.0.borrow_mut().entry(id).or_default() += 1;
     }
 }
 
 /// How often the request with the id `i` has arrived.
-fn arrivals_of_one(arrivals: &Arrivals) -> u32 {
+fn arrivals_of_i(arrivals: &Arrivals) -> u32 {
     arrivals.of("i")
 }
 
 /// A stand-in of a marshal: one connection of it. `call` counts the connections from 0.
-type Serve = dyn Fn(u32, DuplexStream, Arrivals) -> std::pin::Pin<Box<dyn Future<Output = ()>>>;
+type MarshalStub = dyn Fn(u32, DuplexStream, Arrivals) -> std::pin::Pin<Box<dyn Future<Output = ()>>>;
 
-fn edge(count: usize, arrivals: &Arrivals, serve: Rc<Serve>) -> Rc<Edge> {
-    edge_over(count, arrivals, serve, |stream| Box::new(stream))
+fn edge(count: usize, arrivals: &Arrivals, stub: Rc<MarshalStub>) -> Rc<Edge> {
+    edge_with_transport(count, arrivals, stub, |stream| Box::new(stream))
 }
 
 /// The same, with connections to marshals that are `wrap`ped.
-fn edge_over(
+fn edge_with_transport(
     count: usize,
     arrivals: &Arrivals,
-    serve: Rc<Serve>,
-    wrap: fn(DuplexStream) -> Box<dyn Wire>,
+    stub: Rc<MarshalStub>,
+    wrap: fn(DuplexStream) -> Box<dyn Transport>,
 ) -> Rc<Edge> {
     let (calls, arrivals) = (Rc::new(RefCell::new(0)), arrivals.clone());
-    let dial: Dial = Box::new(move |_, _| {
-        let (near, far) = duplex(1 << 20);
+    let connector: Connector = Box::new(move |_, _| {
+        let (edge_end, marshal_end) = duplex(1 << 20);
         let call = calls.replace_with(|call| *call + 1);
-        tokio::task::spawn_local(serve(call, far, arrivals.clone()));
-        Box::pin(async move { Ok(wrap(near)) })
+        tokio::task::spawn_local(stub(call, marshal_end, arrivals.clone()));
+        Box::pin(async move { Ok(wrap(edge_end)) })
     });
-    edge_of(SETTINGS, BODY, (0..count).map(|at| node(at, "a")), dial)
+    configured_edge(SETTINGS, CONFIGURATION, (0..count).map(|index| node(index, "a")), connector)
 }
 
 /// A warm marshal of the one service.
-fn node(at: usize, zone: &str) -> Node {
+fn node(index: usize, zone: &str) -> Node {
     Node {
-        id: format!("i-{at}"),
+        id: format!("i-{index}"),
         target: "s".into(),
-        address: format!("10.1.0.{at}:80").parse().unwrap(),
+        address: format!("10.1.0.{index}:80").parse().unwrap(),
         zone: zone.into(),
         revision: "v1".into(),
         capacity: 6,
@@ -91,35 +91,47 @@
 }
 
 /// An edge is told to end, as by SIGTERM: in so many milliseconds it takes only what is quick, and ends.
-fn leave(edge: &Edge, selective_in: u64, ends_in: u64) {
-    edge.leave(Leaving { selective_from: edge.now() + selective_in, ends: edge.now() + ends_in });
+fn begin_shutdown(edge: &Edge, selective_in_ms: u64, exits_in: u64) {
+    edge.begin_shutdown(ShutdownSchedule {
+        selective_from: edge.now() + selective_in_ms,
+        exits_at: edge.now() + exits_in,
+    });
 }
 
-/// An edge that was told a configuration and marshals, and that reaches them by `dial`.
-fn edge_of(settings: &str, body: &str, nodes: impl Iterator<Item = Node>, dial: Dial) -> Rc<Edge> {
-    let edge = Edge::new(Settings::read(settings).unwrap(), "10.0.0.9:8548".parse().unwrap(), dial);
+/// An edge that was told a configuration and marshals, and that reaches them by `connector`.
+fn configured_edge(
+    settings: &str,
+    configuration: &str,
+    nodes: impl Iterator<Item = Node>,
+    connector: Connector,
+) -> Rc<Edge> {
+    let edge = Edge::new(Settings::read(settings).unwrap(), "10.0.0.9:8548".parse().unwrap(), connector);
     let mut view = View::default();
-    let command = view.to_configure(1, body.as_bytes()).unwrap();
+    let command = view.to_configure(1, configuration.as_bytes()).unwrap();
     view.apply(1, &command);
-    for (at, node) in nodes.enumerate() {
-        view.apply(2 + at as u64, &Command::NodeUp(node));
+    for (index, node) in nodes.enumerate() {
+        view.apply(2 + index as u64, &Command::NodeUp(node));
     }
     *edge.view.borrow_mut() = view;
-    edge.refresh();
+    edge.apply_view();
     edge
 }
 
 /// A client's answer: the status, whose it is by its stamp, and the body; nothing where none came whole.
 #[derive(Clone, Debug, PartialEq)]
-struct Got {
+struct ClientResponse {
     status: u16,
-    stamp: String,
+    seal: String,
     body: String,
 }
 
-async fn ask(edge: &Rc<Edge>, path: &str, id: &str) -> Option<Got> {
+async fn send_request(edge: &Rc<Edge>, path: &str, id: &str) -> Option<ClientResponse> {
     let (mut client, server) = duplex(1 << 20);
-    tokio::task::spawn_local(front::connection(Rc::clone(edge), server, Unread::new(SILENCE)));
+    tokio::task::spawn_local(server::connection(
+        Rc::clone(edge),
+        server,
+        UnreadTracker::new(SILENT_CLIENT_TIMEOUT),
+    ));
     let text = format!(
         "POST {path} HTTP/1.1\r\nHost: h\r\nX-Milletwing-Attempt-Id: {id}\r\nX-Milletwing-Remaining-Ms: 3000\r\n\
          Connection: close\r\nContent-Length: 4\r\n\r\nbody"
@@ -137,12 +149,12 @@
     };
     let length: usize = field("content-length")?.parse().ok()?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
-    let stamp = field("x-milletwing-server-seal").unwrap_or_default();
-    (length == body.len()).then(|| Got { status, stamp, body: body.into() })
+    let seal = field("x-milletwing-server-seal").unwrap_or_default();
+    (length == body.len()).then(|| ClientResponse { status, seal, body: body.into() })
 }
 
 /// Reads one request: its id, or nothing where the connection ends before its head.
-async fn request(stream: &mut DuplexStream) -> Option<String> {
+async fn read_request(stream: &mut DuplexStream) -> Option<String> {
     let mut bytes = Vec::new();
     while !bytes.ends_with(b"\r\n\r\nbody") {
         bytes.push(stream.read_u8().await.ok()?);
@@ -152,15 +164,15 @@
     Some(id.to_owned())
 }
 
-fn answer(id: &str) -> String {
+fn ok_response(id: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nX-Milletwing-Attempt-Id: {id}\r\nX-Milletwing-Server-Seal: {id}\r\nContent-Length: 5\r\n\r\nhello"
     )
 }
 
-fn own(got: &Option<Got>, id: &str) -> bool {
-    let wanted = Got { status: 200, stamp: id.into(), body: "hello".into() };
-    got.as_ref() == Some(&wanted)
+fn is_own_response(response: &Option<ClientResponse>, id: &str) -> bool {
+    let wanted = ClientResponse { status: 200, seal: id.into(), body: "hello".into() };
+    response.as_ref() == Some(&wanted)
 }
 
 fn run(test: impl Future<Output = ()>) {
@@ -169,13 +181,17 @@
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// Serves requests one after the other; `spoil` gives what is written for the connection's n-th request, and whether the
+/// Serves requests one after the other; `respond` gives what is written for the connection's n-th request, and whether the
 /// connection goes on.
-async fn serve(mut stream: DuplexStream, arrivals: Arrivals, spoil: impl Fn(u32, &str) -> (Vec<u8>, bool)) {
+async fn serve_requests(
+    mut stream: DuplexStream,
+    arrivals: Arrivals,
+    respond: impl Fn(u32, &str) -> (Vec<u8>, bool),
+) {
     for turn in 0.. {
-        let Some(id) = request(&mut stream).await else { return };
-        arrivals.note(id.clone());
-        let (bytes, on) = spoil(turn, &id);
+        let Some(id) = read_request(&mut stream).await else { return };
+        arrivals.record(id.clone());
+        let (bytes, on) = respond(turn, &id);
         if stream.write_all(&bytes).await.is_err() || !on {
             return;
         }
@@ -183,10 +199,10 @@
 }
 
 #[test]
-fn an_answer_cut_at_any_byte_is_no_answer_and_only_what_is_repeatable_goes_on() {
-    let whole = answer("i").len();
+fn truncated_response_is_retried_only_for_idempotent_requests() {
+    let whole = ok_response("i").len();
     for cut in 0..=whole {
-        for (path, repeatable) in [(LOOK, true), (ORDER, false)] {
+        for (path, repeatable) in [(IDEMPOTENT, true), (NON_IDEMPOTENT, false)] {
             run(async move {
                 let arrivals = Arrivals::default();
                 // The first connection cuts its answer; later ones answer whole.
@@ -194,8 +210,8 @@
                     4,
                     &arrivals,
                     Rc::new(move |call, stream, arrivals| {
-                        Box::pin(serve(stream, arrivals, move |_, id| {
-                            let bytes = answer(id).into_bytes();
+                        Box::pin(serve_requests(stream, arrivals, move |_, id| {
+                            let bytes = ok_response(id).into_bytes();
                             if call == 0 {
                                 (bytes[..cut].to_vec(), false)
                             } else {
@@ -204,14 +220,14 @@
                         }))
                     }),
                 );
-                let got = ask(&edge, path, "i").await;
+                let response = send_request(&edge, path, "i").await;
                 let tries = arrivals.of("i");
                 if cut == whole || repeatable {
-                    assert!(own(&got, "i"), "{path} cut at {cut}: {got:?}");
+                    assert!(is_own_response(&response, "i"), "{path} cut at {cut}: {response:?}");
                     assert_eq!(tries, 1 + u32::from(cut < whole));
                 } else {
                     assert_eq!(
-                        got.map(|it| it.status),
+                        response.map(|it| it.status),
                         Some(502),
                         "{path} cut at {cut}: no promise can be made"
                     );
@@ -223,8 +239,8 @@
 }
 
 #[test]
-fn surplus_bytes_after_an_answer_belong_to_no_request() {
-    let surplus = answer("x");
+fn surplus_bytes_after_a_response_are_never_delivered() {
+    let surplus = ok_response("x");
     for length in 1..=surplus.len() {
         for late in [false, true] {
             let surplus = surplus.as_bytes()[..length].to_vec();
@@ -237,9 +253,9 @@
                         let surplus = surplus.clone();
                         Box::pin(async move {
                             for turn in 0.. {
-                                let Some(id) = request(&mut stream).await else { return };
-                                arrivals.note(id.clone());
-                                let mut bytes = answer(&id).into_bytes();
+                                let Some(id) = read_request(&mut stream).await else { return };
+                                arrivals.record(id.clone());
+                                let mut bytes = ok_response(&id).into_bytes();
                                 if turn == 0 && !late {
                                     bytes.extend(&surplus);
                                 }
@@ -254,14 +270,17 @@
                         })
                     }),
                 );
-                assert!(own(&ask(&edge, ORDER, "a").await, "a"));
+                assert!(is_own_response(&send_request(&edge, NON_IDEMPOTENT, "a").await, "a"));
                 if late {
                     tokio::time::sleep(Duration::from_millis(60)).await;
                 }
                 for id in ["b", "c"] {
-                    let got = ask(&edge, ORDER, id).await;
-                    let broken = got.as_ref().is_some_and(|it| it.status == 502);
-                    assert!(own(&got, id) || broken, "{length} surplus bytes, late {late}: {id} got {got:?}");
+                    let response = send_request(&edge, NON_IDEMPOTENT, id).await;
+                    let broken = response.as_ref().is_some_and(|it| it.status == 502);
+                    assert!(
+                        is_own_response(&response, id) || broken,
+                        "{length} surplus bytes, late {late}: {id} got {response:?}"
+                    );
                     assert!(arrivals.of(id) <= 1, "{id} was sent again");
                 }
             });
@@ -270,7 +289,7 @@
 }
 
 #[test]
-fn an_answer_that_comes_after_its_client_has_left_reaches_nobody_else() {
+fn late_response_to_a_departed_client_reaches_no_other_client() {
     for delay in [10, 200, 1_500, 2_900] {
         run(async move {
             let arrivals = Arrivals::default();
@@ -280,23 +299,27 @@
                 Rc::new(move |_, mut stream, arrivals| {
                     Box::pin(async move {
                         for turn in 0.. {
-                            let Some(id) = request(&mut stream).await else { return };
-                            arrivals.note(id.clone());
+                            let Some(id) = read_request(&mut stream).await else { return };
+                            arrivals.record(id.clone());
                             if turn == 0 {
                                 tokio::time::sleep(Duration::from_millis(delay)).await;
                             }
-                            if stream.write_all(answer(&id).as_bytes()).await.is_err() {
+                            if stream.write_all(ok_response(&id).as_bytes()).await.is_err() {
                                 return;
                             }
                         }
                     })
                 }),
             );
-            let left = tokio::time::timeout(Duration::from_millis(delay / 2), ask(&edge, ORDER, "a")).await;
+            let left = tokio::time::timeout(
+                Duration::from_millis(delay / 2),
+                send_request(&edge, NON_IDEMPOTENT, "a"),
+            )
+            .await;
             assert!(left.is_err(), "the client leaves before its answer comes");
             for id in ["b", "c"] {
-                let got = ask(&edge, ORDER, id).await;
-                assert!(own(&got, id), "after {delay} ms {id} got {got:?}");
+                let response = send_request(&edge, NON_IDEMPOTENT, id).await;
+                assert!(is_own_response(&response, id), "after {delay} ms {id} got {response:?}");
                 assert_eq!(arrivals.of(id), 1);
             }
         });
@@ -304,7 +327,7 @@
 }
 
 #[test]
-fn what_may_not_run_twice_is_sent_once_whatever_byte_of_it_a_marshal_read_before_it_closed() {
+fn non_idempotent_request_is_sent_once_if_the_connection_closes_at_any_byte() {
     // The head and body of the request as the edge sends it are under 400 bytes.
     for read in 0..400 {
         run(async move {
@@ -315,30 +338,34 @@
                 Rc::new(move |call, mut stream, arrivals| {
                     Box::pin(async move {
                         // Connections that have served once take so many bytes of the next request, and close.
-                        let Some(id) = request(&mut stream).await else { return };
-                        arrivals.note(id.clone());
-                        let _ = stream.write_all(answer(&id).as_bytes()).await; // its end is noticed below
+                        let Some(id) = read_request(&mut stream).await else { return };
+                        arrivals.record(id.clone());
+                        let _ = stream.write_all(ok_response(&id).as_bytes()).await; // its end is noticed below
                         if call > 2 {
-                            return serve(stream, arrivals, |_, id| (answer(id).into_bytes(), true)).await;
+                            return serve_requests(stream, arrivals, |_, id| {
+                                (ok_response(id).into_bytes(), true)
+                            })
+                            .await;
                         }
                         let mut some = vec![0; read];
                         if read > 0 && stream.read_exact(&mut some).await.is_ok() {
-                            arrivals.note("second".into());
+                            arrivals.record("second".into());
                         }
                     })
                 }),
             );
-            assert!(own(&ask(&edge, ORDER, "first").await, "first"));
-            let got = ask(&edge, ORDER, "second").await;
-            assert!(arrivals.of("second") <= 1, "{read} bytes were read, and it went on: {got:?}");
-            let ends = own(&got, "second") || got.as_ref().is_some_and(|it| matches!(it.status, 502 | 504));
-            assert!(ends, "{read} bytes were read: {got:?}");
+            assert!(is_own_response(&send_request(&edge, NON_IDEMPOTENT, "first").await, "first"));
+            let response = send_request(&edge, NON_IDEMPOTENT, "second").await;
+            assert!(arrivals.of("second") <= 1, "{read} bytes were read, and it went on: {response:?}");
+            let exits_at = is_own_response(&response, "second")
+                || response.as_ref().is_some_and(|it| matches!(it.status, 502 | 504));
+            assert!(exits_at, "{read} bytes were read: {response:?}");
         });
     }
 }
 
 #[test]
-fn answers_of_others_and_spoilt_ones_are_none() {
+fn mismatched_or_corrupted_responses_are_rejected() {
     let stamped = |lines: &str| format!("HTTP/1.1 200 OK\r\n{lines}\r\nhello");
     let seal = "X-Milletwing-Server-Seal: a\r\n";
     let spoilt = [
@@ -359,33 +386,36 @@
                 &arrivals,
                 Rc::new(move |_, stream, arrivals| {
                     let bytes = bytes.clone();
-                    Box::pin(serve(stream, arrivals, move |_, _| (bytes.clone(), false)))
+                    Box::pin(serve_requests(stream, arrivals, move |_, _| (bytes.clone(), false)))
                 }),
             );
-            let got = ask(&edge, ORDER, "a").await;
-            assert_eq!(got.map(|it| it.status), Some(502), "{text}");
+            let response = send_request(&edge, NON_IDEMPOTENT, "a").await;
+            assert_eq!(response.map(|it| it.status), Some(502), "{text}");
             assert_eq!(arrivals.of("a"), 1);
         });
     }
 }
 
 #[test]
-fn an_edge_about_to_end_takes_what_is_done_by_then_and_sends_nothing_else_on() {
+fn shutdown_accepts_only_requests_that_finish_in_time() {
     run(async {
         let arrivals = Arrivals::default();
         let whole = |_, stream, arrivals| -> std::pin::Pin<Box<dyn Future<Output = ()>>> {
-            Box::pin(serve(stream, arrivals, |_, id| (answer(id).into_bytes(), true)))
+            Box::pin(serve_requests(stream, arrivals, |_, id| (ok_response(id).into_bytes(), true)))
         };
         let edge = edge(3, &arrivals, Rc::new(whole));
-        leave(&edge, 60_000, 120_000);
-        assert!(own(&ask(&edge, ORDER, "early").await, "early"), "in the first half of its time it serves");
+        begin_shutdown(&edge, 60_000, 120_000);
+        assert!(
+            is_own_response(&send_request(&edge, NON_IDEMPOTENT, "early").await, "early"),
+            "in the first half of its time it serves"
+        );
         // Twice the aim of a second is left, and a little more: enough. A little less: not.
-        leave(&edge, 0, 2_100);
-        assert!(own(&ask(&edge, ORDER, "quick").await, "quick"));
-        leave(&edge, 0, 1_900);
-        for path in [LOOK, ORDER] {
-            let got = ask(&edge, path, "late").await;
-            assert_eq!(got.map(|it| it.status), Some(503));
+        begin_shutdown(&edge, 0, 2_100);
+        assert!(is_own_response(&send_request(&edge, NON_IDEMPOTENT, "quick").await, "quick"));
+        begin_shutdown(&edge, 0, 1_900);
+        for path in [IDEMPOTENT, NON_IDEMPOTENT] {
+            let response = send_request(&edge, path, "late").await;
+            assert_eq!(response.map(|it| it.status), Some(503));
         }
         assert_eq!((arrivals.of("early"), arrivals.of("late")), (1, 0));
     });
--- a/crates/edge-proxy/src/tests/core_silence.rs
+++ b/crates/edge-proxy/src/tests/core_silence.rs
@@ -2,7 +2,7 @@
 //! made four times as long.
 
 use super::{edge, run, Arrivals};
-use crate::feed::listen;
+use crate::core_feed::listen;
 use milletwing_wire::{frame, ToEdge};
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 /// Between two pulses of a core machine.
-const PULSE: Duration = Duration::from_millis(200);
+const PULSE_INTERVAL: Duration = Duration::from_millis(200);
 
 fn pulse(fresh: bool) -> Vec<u8> {
     frame(&ToEdge::Pulse { fresh, index: 100, cores: vec![1, 2, 3], edges: 3, loads: Vec::new() })
@@ -18,53 +18,53 @@
 
 /// Pulses at their pace: so many that hear the leader, then so many that don't; then nothing.
 async fn core_machine(mut stream: DuplexStream, fresh: usize, stale: usize) {
-    for at in 0..fresh + stale {
-        if stream.write_all(&pulse(at < fresh)).await.is_err() {
+    for index in 0..fresh + stale {
+        if stream.write_all(&pulse(index < fresh)).await.is_err() {
             return; // the edge has left
         }
-        tokio::time::sleep(PULSE).await;
+        tokio::time::sleep(PULSE_INTERVAL).await;
     }
     std::future::pending::<()>().await;
 }
 
 /// How long an edge stays, and why it leaves.
-async fn stays(fresh: usize, stale: usize) -> (Duration, String) {
+async fn listen_duration(fresh: usize, stale: usize) -> (Duration, String) {
     let edge = edge(1, &Arrivals::default(), Rc::new(|_, _, _| Box::pin(async {})));
-    let (near, far) = duplex(1 << 16);
-    tokio::task::spawn_local(core_machine(far, fresh, stale));
-    let (read, write) = split(near);
-    let begun = Instant::now();
+    let (edge_end, core_end) = duplex(1 << 16);
+    tokio::task::spawn_local(core_machine(core_end, fresh, stale));
+    let (read, write) = split(edge_end);
+    let started = Instant::now();
     let mut cores = Vec::new();
-    let why = listen(&edge, read, write, &mut cores).await;
-    (begun.elapsed(), why)
+    let reason = listen(&edge, read, write, &mut cores).await;
+    (started.elapsed(), reason)
 }
 
 #[test]
-fn a_core_machine_that_says_nothing_is_left() {
+fn silent_core_machine_is_abandoned() {
     run(async {
-        let (after, why) = stays(5, 0).await;
-        assert_eq!(why, "silent");
+        let (after, reason) = listen_duration(5, 0).await;
+        assert_eq!(reason, "silent");
         // The last pulse came after four pauses.
-        let silence = after - PULSE * 4;
+        let silence = after - PULSE_INTERVAL * 4;
         assert!(silence <= Duration::from_millis(1_000), "after {silence:?}");
         assert!(silence >= Duration::from_millis(800), "a few late pulses are no silence: {silence:?}");
     });
 }
 
 #[test]
-fn a_core_machine_that_does_not_hear_its_leader_is_left() {
+fn core_machine_without_leader_contact_is_abandoned() {
     run(async {
-        let (after, why) = stays(5, 100).await;
-        assert!(why.contains("does not hear its leader"), "{why}");
-        let stale = after - PULSE * 4;
+        let (after, reason) = listen_duration(5, 100).await;
+        assert!(reason.contains("lost contact with its leader"), "{reason}");
+        let stale = after - PULSE_INTERVAL * 4;
         assert!(stale <= Duration::from_millis(1_000), "after {stale:?}");
     });
 }
 
 #[test]
-fn a_core_machine_that_speaks_is_kept() {
+fn active_core_machine_is_kept() {
     run(async {
-        let (after, _) = stays(100, 0).await;
-        assert!(after >= PULSE * 99, "left after {after:?}");
+        let (after, _) = listen_duration(100, 0).await;
+        assert!(after >= PULSE_INTERVAL * 99, "left after {after:?}");
     });
 }
--- a/crates/edge-proxy/src/tests/guarantees.rs
+++ b/crates/edge-proxy/src/tests/guarantees.rs
@@ -1,13 +1,14 @@
 //! What clients and marshals may rely on beyond whose answer is whose: time handed on, an end in time, clients that leave, long
 //! bodies, answers without a length.
 
-use super::SILENCE;
+use super::SILENT_CLIENT_TIMEOUT;
 use super::{
-    answer, arrivals_of_one, ask, edge, edge_over, leave, own, request, run, serve, Arrivals, LOOK, ORDER,
+    arrivals_of_i, begin_shutdown, edge, edge_with_transport, is_own_response, ok_response, read_request,
+    run, send_request, serve_requests, Arrivals, IDEMPOTENT, NON_IDEMPOTENT,
 };
-use crate::front;
-use crate::pool::Wire;
-use crate::unread::Unread;
+use crate::pool::Transport;
+use crate::server;
+use crate::user_timeout::UnreadTracker;
 use crate::Edge;
 use std::cell::{Cell, RefCell};
 use std::io::{Error, ErrorKind};
@@ -26,7 +27,7 @@
 }
 
 /// Reads bytes up to the end of a head.
-pub(super) async fn head(stream: &mut DuplexStream) -> Option<String> {
+pub(super) async fn read_head(stream: &mut DuplexStream) -> Option<String> {
     let mut bytes = Vec::new();
     while !bytes.ends_with(b"\r\n\r\n") {
         bytes.push(stream.read_u8().await.ok()?);
@@ -34,16 +35,20 @@
     String::from_utf8(bytes).ok()
 }
 
-pub(super) fn field(head: &str, name: &str) -> Option<String> {
+pub(super) fn header_field(head: &str, name: &str) -> Option<String> {
     let found =
         head.lines().find_map(|line| line.split_once(": ").filter(|it| it.0.eq_ignore_ascii_case(name)));
     found.map(|(_, value)| value.to_owned())
 }
 
 /// Sends a request's head and gives the client's end of the connection.
-pub(super) async fn begin(edge: &Rc<Edge>, path: &str, remaining: u64, extra: &str) -> DuplexStream {
+pub(super) async fn send_head(edge: &Rc<Edge>, path: &str, remaining: u64, extra: &str) -> DuplexStream {
     let (mut client, server) = duplex(1 << 20);
-    tokio::task::spawn_local(front::connection(Rc::clone(edge), server, Unread::new(SILENCE)));
+    tokio::task::spawn_local(server::connection(
+        Rc::clone(edge),
+        server,
+        UnreadTracker::new(SILENT_CLIENT_TIMEOUT),
+    ));
     let text = format!(
         "POST {path} HTTP/1.1\r\nHost: h\r\nX-Milletwing-Attempt-Id: i\r\nX-Milletwing-Remaining-Ms: {remaining}\r\n{extra}\r\n"
     );
@@ -52,40 +57,40 @@
 }
 
 #[test]
-fn each_try_is_handed_no_more_time_than_is_left() {
+fn each_attempt_carries_only_the_remaining_time() {
     run(async {
-        let handed: Rc<RefCell<Vec<u64>>> = Rc::default();
-        let noted = Rc::clone(&handed);
+        let sent_ms: Rc<RefCell<Vec<u64>>> = Rc::default();
+        let noted = Rc::clone(&sent_ms);
         let edge = edge(
             3,
             &Arrivals::default(),
             Rc::new(move |call, mut stream, _| {
                 let noted = Rc::clone(&noted);
                 Box::pin(async move {
-                    let Some(head) = head(&mut stream).await else { return };
-                    let left =
-                        field(&head, "x-milletwing-remaining-ms").expect("every try says what is left");
+                    let Some(head) = read_head(&mut stream).await else { return };
+                    let left = header_field(&head, "x-milletwing-remaining-ms")
+                        .expect("every try says what is left");
                     noted.borrow_mut().push(left.parse().unwrap());
                     if call == 0 {
                         tokio::time::sleep(ms(700)).await;
                         return; // breaks off
                     }
-                    let _ = stream.write_all(answer("i").as_bytes()).await;
+                    let _ = stream.write_all(ok_response("i").as_bytes()).await;
                     tokio::time::sleep(ms(60_000)).await;
                 })
             }),
         );
-        assert!(own(&ask(&edge, LOOK, "i").await, "i"));
-        let handed = handed.borrow();
-        assert!(handed.len() >= 2 && handed[0] <= 3_000, "{handed:?}");
-        let hedged = handed.iter().skip(1).all(|left| *left <= 3_000 - 600);
-        assert!(hedged, "a later try is handed what the first was: {handed:?}");
+        assert!(is_own_response(&send_request(&edge, IDEMPOTENT, "i").await, "i"));
+        let sent_ms = sent_ms.borrow();
+        assert!(sent_ms.len() >= 2 && sent_ms[0] <= 3_000, "{sent_ms:?}");
+        let hedged = sent_ms.iter().skip(1).all(|left| *left <= 3_000 - 600);
+        assert!(hedged, "a later try is handed what the first was: {sent_ms:?}");
     });
 }
 
 #[test]
-fn a_request_gets_its_final_answer_at_its_routes_guard() {
-    for (path, ran) in [(LOOK, true), (ORDER, true), (ORDER, false)] {
+fn request_is_answered_at_the_route_deadline() {
+    for (path, ran) in [(IDEMPOTENT, true), (NON_IDEMPOTENT, true), (NON_IDEMPOTENT, false)] {
         run(async move {
             // A marshal that reads and says nothing; or one that takes connections and reads nothing.
             let edge = edge(
@@ -94,17 +99,17 @@
                 Rc::new(move |_, mut stream, _| {
                     Box::pin(async move {
                         if ran {
-                            let _ = request(&mut stream).await;
+                            let _ = read_request(&mut stream).await;
                         }
                         tokio::time::sleep(ms(60_000)).await;
                     })
                 }),
             );
-            let begun = Instant::now();
-            let mut client = begin(&edge, path, 60_000, "Content-Length: 4\r\n").await;
+            let started = Instant::now();
+            let mut client = send_head(&edge, path, 60_000, "Content-Length: 4\r\n").await;
             client.write_all(b"body").await.unwrap();
-            let head = head(&mut client).await.expect("an answer");
-            let took = begun.elapsed();
+            let head = read_head(&mut client).await.expect("an answer");
+            let took = started.elapsed();
             assert!(head.starts_with("HTTP/1.1 504"), "{path}: {head}");
             assert!(took >= ms(4_990) && took <= ms(5_000) + SOON, "{path}: after {took:?}");
         });
@@ -112,21 +117,21 @@
 }
 
 #[test]
-fn a_body_that_does_not_come_is_answered_at_the_guard_and_promises_that_nothing_ran() {
+fn missing_request_body_times_out_as_not_executed() {
     run(async {
         let edge = edge(3, &Arrivals::default(), Rc::new(|_, _, _| Box::pin(async {})));
-        let begun = Instant::now();
-        let mut client = begin(&edge, ORDER, 60_000, "Content-Length: 4\r\n").await;
+        let started = Instant::now();
+        let mut client = send_head(&edge, NON_IDEMPOTENT, 60_000, "Content-Length: 4\r\n").await;
         client.write_all(b"bo").await.unwrap();
-        let head = head(&mut client).await.expect("an answer");
+        let head = read_head(&mut client).await.expect("an answer");
         assert!(head.starts_with("HTTP/1.1 503"), "{head}");
-        assert!(begun.elapsed() <= ms(5_000) + SOON);
+        assert!(started.elapsed() <= ms(5_000) + SOON);
     });
 }
 
 #[test]
-fn a_client_that_left_is_worked_for_no_longer() {
-    for path in [LOOK, ORDER] {
+fn client_disconnect_cancels_the_request() {
+    for path in [IDEMPOTENT, NON_IDEMPOTENT] {
         run(async move {
             let arrivals = Arrivals::default();
             let closed: Rc<Cell<Option<Instant>>> = Rc::default();
@@ -137,15 +142,15 @@
                 Rc::new(move |_, mut stream, arrivals| {
                     let noted = Rc::clone(&noted);
                     Box::pin(async move {
-                        let Some(id) = request(&mut stream).await else { return };
-                        arrivals.note(id);
+                        let Some(id) = read_request(&mut stream).await else { return };
+                        arrivals.record(id);
                         // At work until the connection ends.
                         let _ = stream.read_u8().await;
                         noted.set(Some(Instant::now()));
                     })
                 }),
             );
-            let mut client = begin(&edge, path, 4_000, "Content-Length: 4\r\n").await;
+            let mut client = send_head(&edge, path, 4_000, "Content-Length: 4\r\n").await;
             client.write_all(b"body").await.unwrap();
             tokio::time::sleep(ms(100)).await;
             drop(client);
@@ -153,13 +158,13 @@
             tokio::time::sleep(ms(4_000)).await;
             let ended = closed.get().expect("the marshal's connection is closed");
             assert!(ended.duration_since(left) <= SOON, "{path}: {:?} later", ended.duration_since(left));
-            assert_eq!(arrivals_of_one(&arrivals), 1, "{path} is sent on for a client that has left");
+            assert_eq!(arrivals_of_i(&arrivals), 1, "{path} is sent on for a client that has left");
         });
     }
 }
 
 #[test]
-fn a_client_that_left_while_a_marshal_turns_it_away_is_sent_to_no_other() {
+fn rejected_request_of_a_disconnected_client_is_not_retried() {
     run(async {
         let arrivals = Arrivals::default();
         let edge = edge(
@@ -167,8 +172,8 @@
             &arrivals,
             Rc::new(move |_, mut stream, arrivals| {
                 Box::pin(async move {
-                    let Some(id) = request(&mut stream).await else { return };
-                    arrivals.note(id);
+                    let Some(id) = read_request(&mut stream).await else { return };
+                    arrivals.record(id);
                     tokio::time::sleep(ms(300)).await;
                     let away =
                         "HTTP/1.1 503 Busy\r\nX-Milletwing-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
@@ -177,17 +182,17 @@
                 })
             }),
         );
-        let mut client = begin(&edge, ORDER, 4_000, "Content-Length: 4\r\n").await;
+        let mut client = send_head(&edge, NON_IDEMPOTENT, 4_000, "Content-Length: 4\r\n").await;
         client.write_all(b"body").await.unwrap();
         tokio::time::sleep(ms(100)).await;
         drop(client);
         tokio::time::sleep(ms(4_000)).await;
-        assert_eq!(arrivals_of_one(&arrivals), 1);
+        assert_eq!(arrivals_of_i(&arrivals), 1);
     });
 }
 
 #[test]
-fn after_an_early_answer_only_the_rest_of_that_body_reaches_the_marshal_there() {
+fn connection_with_an_unfinished_upload_carries_no_other_request() {
     const LENGTH: usize = 60_000;
     run(async {
         let connections: Rc<RefCell<Vec<Vec<u8>>>> = Rc::default();
@@ -200,11 +205,14 @@
                 noted.borrow_mut().push(Vec::new());
                 Box::pin(async move {
                     if call > 0 {
-                        return serve(stream, arrivals, |_, id| (answer(id).into_bytes(), true)).await;
+                        return serve_requests(stream, arrivals, |_, id| {
+                            (ok_response(id).into_bytes(), true)
+                        })
+                        .await;
                     }
-                    let Some(head) = head(&mut stream).await else { return };
-                    let id = field(&head, "x-milletwing-attempt-id").unwrap();
-                    let _ = stream.write_all(answer(&id).as_bytes()).await; // before the body is read
+                    let Some(head) = read_head(&mut stream).await else { return };
+                    let id = header_field(&head, "x-milletwing-attempt-id").unwrap();
+                    let _ = stream.write_all(ok_response(&id).as_bytes()).await; // before the body is read
                     let mut bytes = vec![0; 4_096];
                     while let Ok(count @ 1..) = stream.read(&mut bytes).await {
                         noted.borrow_mut()[call as usize].extend(&bytes[..count]);
@@ -212,18 +220,19 @@
                 })
             }),
         );
-        let mut client = begin(&edge, ORDER, 4_000, &format!("Content-Length: {LENGTH}\r\n")).await;
+        let mut client =
+            send_head(&edge, NON_IDEMPOTENT, 4_000, &format!("Content-Length: {LENGTH}\r\n")).await;
         client.write_all(&vec![b'x'; LENGTH / 2]).await.unwrap();
-        let early = head(&mut client).await.expect("the answer comes before the body's end");
+        let early = read_head(&mut client).await.expect("the answer comes before the body's end");
         assert!(early.starts_with("HTTP/1.1 200"), "{early}");
         // Others come meanwhile, and the rest of the body follows.
         for id in ["b", "c"] {
-            assert!(own(&ask(&edge, ORDER, id).await, id));
+            assert!(is_own_response(&send_request(&edge, NON_IDEMPOTENT, id).await, id));
         }
         let _ = client.write_all(&vec![b'x'; LENGTH / 2]).await; // the edge may have closed
         tokio::time::sleep(ms(500)).await;
         for id in ["d", "e"] {
-            assert!(own(&ask(&edge, ORDER, id).await, id));
+            assert!(is_own_response(&send_request(&edge, NON_IDEMPOTENT, id).await, id));
         }
         let first = connections.borrow()[0].clone();
         assert!(first.iter().all(|byte| *byte == b'x'), "other bytes where the rest of the body is due");
@@ -232,9 +241,9 @@
 }
 
 /// A marshal's connection that is reset where it would end.
-struct Reset(DuplexStream);
+struct ResetAtEnd(DuplexStream);
 
-impl AsyncRead for Reset {
+impl AsyncRead for ResetAtEnd {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -250,7 +259,7 @@
     }
 }
 
-impl AsyncWrite for Reset {
+impl AsyncWrite for ResetAtEnd {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -267,16 +276,16 @@
 }
 
 /// An answer without a length, of so many bytes; whether its connection is reset or ends.
-async fn unframed(length: usize, reset: bool) -> (String, Vec<u8>, bool) {
-    let wrap: fn(DuplexStream) -> Box<dyn Wire> =
-        if reset { |stream| Box::new(Reset(stream)) } else { |stream| Box::new(stream) };
-    let edge = edge_over(
+async fn fetch_without_length(length: usize, reset: bool) -> (String, Vec<u8>, bool) {
+    let wrap: fn(DuplexStream) -> Box<dyn Transport> =
+        if reset { |stream| Box::new(ResetAtEnd(stream)) } else { |stream| Box::new(stream) };
+    let edge = edge_with_transport(
         1,
         &Arrivals::default(),
         Rc::new(move |_, mut stream, _| {
             Box::pin(async move {
-                let Some(head) = head(&mut stream).await else { return };
-                let id = field(&head, "x-milletwing-attempt-id").unwrap();
+                let Some(head) = read_head(&mut stream).await else { return };
+                let id = header_field(&head, "x-milletwing-attempt-id").unwrap();
                 let head = format!(
                     "HTTP/1.1 200 OK\r\nX-Milletwing-Attempt-Id: {id}\r\nX-Milletwing-Server-Seal: s\r\n\r\n"
                 );
@@ -286,32 +295,33 @@
         }),
         wrap,
     );
-    let mut client = begin(&edge, ORDER, 4_000, "Connection: close\r\nContent-Length: 0\r\n").await;
-    let head = head(&mut client).await.expect("an answer");
+    let mut client =
+        send_head(&edge, NON_IDEMPOTENT, 4_000, "Connection: close\r\nContent-Length: 0\r\n").await;
+    let head = read_head(&mut client).await.expect("an answer");
     let mut body = Vec::new();
     let read = tokio::time::timeout(ms(10_000), client.read_to_end(&mut body)).await;
     read.expect("the connection ends").unwrap();
     // What is chunked ends with an empty chunk; what has a length has all of it.
-    let whole = match field(&head, "content-length") {
+    let complete = match header_field(&head, "content-length") {
         Some(length) => length.parse() == Ok(body.len()),
         None => body.ends_with(b"\r\n0\r\n\r\n"),
     };
-    (head, body, whole)
+    (head, body, complete)
 }
 
 #[test]
-fn an_answer_without_a_length_is_whole_where_its_connection_ends_and_not_where_it_is_reset() {
+fn response_without_length_is_complete_on_close_but_not_on_reset() {
     for length in [0, 5, 100_000] {
         run(async move {
-            let (head, body, whole) = unframed(length, false).await;
+            let (head, body, complete) = fetch_without_length(length, false).await;
             let payload = body.iter().filter(|byte| **byte == b'y').count();
-            assert!(head.starts_with("HTTP/1.1 200") && whole, "{length}: {head}");
+            assert!(head.starts_with("HTTP/1.1 200") && complete, "{length}: {head}");
             assert_eq!(payload, length);
         });
         run(async move {
-            let (head, _, whole) = unframed(length, true).await;
+            let (head, _, complete) = fetch_without_length(length, true).await;
             assert!(
-                head.starts_with("HTTP/1.1 502") || !whole,
+                head.starts_with("HTTP/1.1 502") || !complete,
                 "{length} bytes and a reset look whole: {head}"
             );
         });
@@ -319,51 +329,57 @@
 }
 
 #[test]
-fn a_failure_that_a_marshal_sealed_keeps_its_status() {
-    for (path, status) in [(ORDER, 500), (ORDER, 404), (LOOK, 500), (LOOK, 418), (ORDER, 504)] {
+fn sealed_failure_keeps_its_status() {
+    for (path, status) in [
+        (NON_IDEMPOTENT, 500),
+        (NON_IDEMPOTENT, 404),
+        (IDEMPOTENT, 500),
+        (IDEMPOTENT, 418),
+        (NON_IDEMPOTENT, 504),
+    ] {
         run(async move {
             let edge = edge(
                 2,
                 &Arrivals::default(),
                 Rc::new(move |_, mut stream, _| {
                     Box::pin(async move {
-                        while let Some(id) = request(&mut stream).await {
-                            let text = answer(&id).replace("200 OK", &format!("{status} Its own"));
+                        while let Some(id) = read_request(&mut stream).await {
+                            let text = ok_response(&id).replace("200 OK", &format!("{status} Its own"));
                             let _ = stream.write_all(text.as_bytes()).await;
                         }
                     })
                 }),
             );
-            let got = ask(&edge, path, "a").await.expect("an answer");
-            assert_eq!((got.status, got.stamp.as_str()), (status, "a"), "{path}");
+            let response = send_request(&edge, path, "a").await.expect("an answer");
+            assert_eq!((response.status, response.seal.as_str()), (status, "a"), "{path}");
         });
     }
 }
 
 #[test]
-fn a_kept_connection_is_closed_only_after_the_answer_under_way() {
+fn keep_alive_connection_closes_after_the_response_in_flight() {
     run(async {
         let edge = edge(
             1,
             &Arrivals::default(),
             Rc::new(|_, mut stream, _| {
                 Box::pin(async move {
-                    let Some(id) = request(&mut stream).await else { return };
+                    let Some(id) = read_request(&mut stream).await else { return };
                     tokio::time::sleep(ms(800)).await;
-                    let _ = stream.write_all(answer(&id).as_bytes()).await;
+                    let _ = stream.write_all(ok_response(&id).as_bytes()).await;
                     tokio::time::sleep(ms(60_000)).await;
                 })
             }),
         );
         assert!(edge.ready());
-        let mut client = begin(&edge, ORDER, 4_000, "Content-Length: 4\r\n").await;
+        let mut client = send_head(&edge, NON_IDEMPOTENT, 4_000, "Content-Length: 4\r\n").await;
         client.write_all(b"body").await.unwrap();
         tokio::time::sleep(ms(200)).await;
         // As after SIGTERM: not ready at once, then every connection is to close.
-        leave(&edge, 2_000, 4_000);
+        begin_shutdown(&edge, 2_000, 4_000);
         assert!(!edge.ready(), "it still looks ready");
-        edge.close.notify_waiters();
-        let text = head(&mut client).await.expect("the answer under way");
+        edge.close_connections.notify_waiters();
+        let text = read_head(&mut client).await.expect("the answer under way");
         assert!(text.starts_with("HTTP/1.1 200"), "{text}");
         let mut body = [0; 5];
         client.read_exact(&mut body).await.unwrap();
--- a/crates/edge-proxy/src/tests/leaving.rs
+++ b/crates/edge-proxy/src/tests/shutdown.rs
@@ -1,7 +1,7 @@
 //! What an edge takes while it leaves comes to an end of its own before the edge's.
 
-use super::guarantees::{begin, field, head, ms};
-use super::{edge, leave, run, Arrivals, ORDER};
+use super::guarantees::{header_field, ms, read_head, send_head};
+use super::{begin_shutdown, edge, run, Arrivals, NON_IDEMPOTENT};
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -9,23 +9,23 @@
 
 const REMAINING_MS: u64 = 4_000;
 /// Less than the client gives, and more than an order is expected to take.
-const ENDS_IN_MS: u64 = 3_000;
+const EXITS_IN_MS: u64 = 3_000;
 
 /// Guards against LOST: an order was handed to a marshal for longer than the edge had left, and cut at its end.
 #[test]
-fn an_order_taken_while_leaving_gets_its_marshals_own_word_before_the_end() {
+fn request_accepted_during_shutdown_gets_the_marshals_response() {
     run(async {
-        let handed = Rc::new(Cell::new(0));
-        let noted = Rc::clone(&handed);
+        let sent_ms = Rc::new(Cell::new(0));
+        let noted = Rc::clone(&sent_ms);
         let edge = edge(
             1,
             &Arrivals::default(),
             Rc::new(move |_, mut stream, _| {
                 let noted = Rc::clone(&noted);
                 Box::pin(async move {
-                    let Some(head) = head(&mut stream).await else { return };
-                    let id = field(&head, "x-milletwing-attempt-id").unwrap();
-                    noted.set(field(&head, "x-milletwing-remaining-ms").unwrap().parse().unwrap());
+                    let Some(head) = read_head(&mut stream).await else { return };
+                    let id = header_field(&head, "x-milletwing-attempt-id").unwrap();
+                    noted.set(header_field(&head, "x-milletwing-remaining-ms").unwrap().parse().unwrap());
                     // It stops work at the value that it is handed, and says so.
                     tokio::time::sleep(ms(noted.get())).await;
                     let text = format!(
@@ -35,15 +35,15 @@
                 })
             }),
         );
-        leave(&edge, 0, ENDS_IN_MS);
-        let begun = Instant::now();
-        let mut client = begin(&edge, ORDER, REMAINING_MS, "Content-Length: 4\r\n").await;
+        begin_shutdown(&edge, 0, EXITS_IN_MS);
+        let started = Instant::now();
+        let mut client = send_head(&edge, NON_IDEMPOTENT, REMAINING_MS, "Content-Length: 4\r\n").await;
         client.write_all(b"body").await.unwrap();
-        let answer = head(&mut client).await.expect("an answer");
+        let answer = read_head(&mut client).await.expect("an answer");
         assert!(answer.starts_with("HTTP/1.1 504"), "{answer}");
-        assert_eq!(field(&answer, "x-milletwing-server-seal").as_deref(), Some("own"));
-        assert!(begun.elapsed() < ms(ENDS_IN_MS), "{:?}", begun.elapsed());
-        assert!(handed.get() > ENDS_IN_MS / 2, "as long as there is: {}", handed.get());
+        assert_eq!(header_field(&answer, "x-milletwing-server-seal").as_deref(), Some("own"));
+        assert!(started.elapsed() < ms(EXITS_IN_MS), "{:?}", started.elapsed());
+        assert!(sent_ms.get() > EXITS_IN_MS / 2, "as long as there is: {}", sent_ms.get());
         assert_eq!(client.read(&mut [0; 8]).await.unwrap(), 0, "then it closes");
     });
 }
--- a/crates/edge-proxy/src/tests/tenants.rs
+++ b/crates/edge-proxy/src/tests/tenants.rs
@@ -1,10 +1,10 @@
 //! Tenants and their keys at an edge: where their requests may run, what marshals are told of them, and what is refused.
 
-use super::SILENCE;
-use super::{answer, edge_of, node, run};
-use crate::front;
-use crate::pool::Dial;
-use crate::unread::Unread;
+use super::SILENT_CLIENT_TIMEOUT;
+use super::{configured_edge, node, ok_response, run};
+use crate::pool::Connector;
+use crate::server;
+use crate::user_timeout::UnreadTracker;
 use crate::Edge;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,7 +14,7 @@
 const SETTINGS: &str =
     "[self]\nnodeName = \"edge\"\nipAddress = \"10.0.0.9\"\nzone = \"a\"\nregion = \"north\"\n\
     [network]\ninternalPorts = [7540, 7555]\n[network.zones]\na = \"north\"\nb = \"south\"\n";
-const BODY: &str = r#"{"revision":1,"routing":{
+const CONFIGURATION: &str = r#"{"revision":1,"routing":{
     "any":{"domain":"h","pathPrefix":"/any/","trafficClass":"idempotent","guardS":5,"targetS":1,"target":"s","maxTries":2},
     "south":{"domain":"h","pathPrefix":"/south/","trafficClass":"idempotent","guardS":5,"targetS":1,"target":"s","maxTries":2,
         "servingRegions":["south"]},
@@ -26,10 +26,10 @@
     "thresholds":{"maxHeaderBytes":16384,"maxBodyBytes":67108864,"headerGuardS":3,"idleGuardS":15}}"#;
 
 /// The heads that marshals have read, each with the zone of the marshal.
-type Heads = Rc<RefCell<Vec<(&'static str, String)>>>;
+type RequestHeads = Rc<RefCell<Vec<(&'static str, String)>>>;
 
 /// Reads one head; nothing where the connection ends before.
-async fn head(stream: &mut DuplexStream) -> Option<String> {
+async fn read_head(stream: &mut DuplexStream) -> Option<String> {
     let mut bytes = Vec::new();
     while !bytes.ends_with(b"\r\n\r\n") {
         bytes.push(stream.read_u8().await.ok()?);
@@ -38,40 +38,44 @@
 }
 
 /// An edge before four marshals, two in each zone, that answer all and note what they read.
-fn edge() -> (Rc<Edge>, Heads) {
-    let heads = Heads::default();
+fn edge() -> (Rc<Edge>, RequestHeads) {
+    let heads = RequestHeads::default();
     let noted = Rc::clone(&heads);
-    let dial: Dial = Box::new(move |address, _| {
-        let (near, mut far) = duplex(1 << 20);
+    let connector: Connector = Box::new(move |address, _| {
+        let (edge_end, mut marshal_end) = duplex(1 << 20);
         let zone = if address.ip().octets()[3] < 2 { "a" } else { "b" };
         let noted = Rc::clone(&noted);
         tokio::task::spawn_local(async move {
-            while let Some(head) = head(&mut far).await {
+            while let Some(head) = read_head(&mut marshal_end).await {
                 noted.borrow_mut().push((zone, head));
-                if far.write_all(answer("i").as_bytes()).await.is_err() {
+                if marshal_end.write_all(ok_response("i").as_bytes()).await.is_err() {
                     return;
                 }
             }
         });
-        Box::pin(async move { Ok(Box::new(near) as Box<dyn crate::pool::Wire>) })
+        Box::pin(async move { Ok(Box::new(edge_end) as Box<dyn crate::pool::Transport>) })
     });
     let nodes = (0..4).map(|at| node(at, if at < 2 { "a" } else { "b" }));
-    (edge_of(SETTINGS, BODY, nodes, dial), heads)
+    (configured_edge(SETTINGS, CONFIGURATION, nodes, connector), heads)
 }
 
 /// Asks on a connection of its own; gives the answer's head.
-async fn ask(edge: &Rc<Edge>, path: &str, fields: &str) -> String {
+async fn send_request(edge: &Rc<Edge>, path: &str, fields: &str) -> String {
     let (mut client, server) = duplex(1 << 20);
-    tokio::task::spawn_local(front::connection(Rc::clone(edge), server, Unread::new(SILENCE)));
+    tokio::task::spawn_local(server::connection(
+        Rc::clone(edge),
+        server,
+        UnreadTracker::new(SILENT_CLIENT_TIMEOUT),
+    ));
     let text = format!(
         "GET {path} HTTP/1.1\r\nHost: h\r\nX-Milletwing-Attempt-Id: i\r\nX-Milletwing-Remaining-Ms: 3000\r\n{fields}\r\n"
     );
     client.write_all(text.as_bytes()).await.unwrap();
-    head(&mut client).await.expect("an answer")
+    read_head(&mut client).await.expect("an answer")
 }
 
 #[test]
-fn a_request_runs_only_where_its_tenant_is_at_home() {
+fn requests_run_only_in_the_tenants_serving_regions() {
     run(async {
         let (edge, heads) = edge();
         for (path, key, zones) in [
@@ -84,8 +88,8 @@
         ] {
             heads.borrow_mut().clear();
             for _ in 0..40 {
-                let got = ask(&edge, path, &format!("Authorization: Token {key}\r\n")).await;
-                assert!(got.starts_with("http/1.1 200"), "{path} {key}: {got}");
+                let response = send_request(&edge, path, &format!("Authorization: Token {key}\r\n")).await;
+                assert!(response.starts_with("http/1.1 200"), "{path} {key}: {response}");
             }
             let strays: Vec<_> =
                 heads.borrow().iter().filter(|(zone, _)| !zones.contains(zone)).cloned().collect();
@@ -100,7 +104,7 @@
 }
 
 #[test]
-fn marshals_are_told_the_tenant_and_never_the_key() {
+fn marshals_receive_the_tenant_name_but_never_the_key() {
     run(async {
         let (edge, heads) = edge();
         let forged = "X-Milletwing-Subscriber: southerner\r\nx-milletwing-SUBSCRIBER: traveller\r\n";
@@ -120,7 +124,7 @@
             ("/open/x", "", &[]),
         ] {
             heads.borrow_mut().clear();
-            assert!(ask(&edge, path, sent).await.starts_with("http/1.1 200"), "{path} {sent}");
+            assert!(send_request(&edge, path, sent).await.starts_with("http/1.1 200"), "{path} {sent}");
             let (_, head) = heads.borrow()[0].clone();
             assert_eq!(fields(&head, "x-milletwing-subscriber"), told, "{path} {sent}: {head}");
             assert!(
@@ -132,7 +136,7 @@
 }
 
 #[test]
-fn a_request_without_a_known_key_is_refused_for_good_and_reaches_nobody() {
+fn request_without_a_known_key_reaches_no_marshal() {
     run(async {
         let (edge, heads) = edge();
         for sent in [
@@ -146,38 +150,42 @@
             "Authorization: Token key-n1\r\nAuthorization: Token key-n1\r\n",
             "X-Milletwing-Subscriber: northerner\r\n",
         ] {
-            let got = ask(&edge, "/any/x", sent).await;
-            assert!(got.starts_with("http/1.1 401"), "{sent}: {got}");
-            assert_eq!(fields(&got, "www-authenticate"), ["token"], "{sent}: {got}");
+            let response = send_request(&edge, "/any/x", sent).await;
+            assert!(response.starts_with("http/1.1 401"), "{sent}: {response}");
+            assert_eq!(fields(&response, "www-authenticate"), ["token"], "{sent}: {response}");
         }
         assert!(heads.borrow().is_empty());
     });
 }
 
 #[test]
-fn a_key_counts_as_the_configuration_in_force_has_it_on_open_connections_too() {
+fn open_connections_follow_key_changes() {
     run(async {
         let (edge, heads) = edge();
         let (mut client, server) = duplex(1 << 20);
-        tokio::task::spawn_local(front::connection(Rc::clone(&edge), server, Unread::new(SILENCE)));
+        tokio::task::spawn_local(server::connection(
+            Rc::clone(&edge),
+            server,
+            UnreadTracker::new(SILENT_CLIENT_TIMEOUT),
+        ));
         let text = "GET /any/x HTTP/1.1\r\nHost: h\r\nX-Milletwing-Attempt-Id: i\r\nAuthorization: Token key-t\r\n\r\n";
         let mut index = 100;
         let bodies = [
-            (2, BODY.replace("\"key-t\"", "\"key-u\""), "http/1.1 401"),
-            (3, BODY.into(), "http/1.1 200"),
-            (4, BODY.replace("\"traveller\"", "\"other\""), "http/1.1 200"),
+            (2, CONFIGURATION.replace("\"key-t\"", "\"key-u\""), "http/1.1 401"),
+            (3, CONFIGURATION.into(), "http/1.1 200"),
+            (4, CONFIGURATION.replace("\"traveller\"", "\"other\""), "http/1.1 200"),
         ];
         for (revision, body, wanted) in bodies {
             let body = body.replace("\"revision\":1", &format!("\"revision\":{revision}"));
             let command = edge.view.borrow().to_configure(revision, body.as_bytes()).unwrap();
             index += 1;
             edge.view.borrow_mut().apply(index, &command);
-            edge.refresh();
+            edge.apply_view();
             heads.borrow_mut().clear();
             client.write_all(text.as_bytes()).await.unwrap();
-            let got = head(&mut client).await.expect("an answer on the same connection");
-            assert!(got.starts_with(wanted), "revision {revision}: {got}");
-            let length: usize = fields(&got, "content-length")[0].parse().unwrap();
+            let response = read_head(&mut client).await.expect("an answer on the same connection");
+            assert!(response.starts_with(wanted), "revision {revision}: {response}");
+            let length: usize = fields(&response, "content-length")[0].parse().unwrap();
             client.read_exact(&mut vec![0; length]).await.unwrap();
             assert_eq!(heads.borrow().len(), usize::from(wanted.ends_with("200")), "revision {revision}");
         }
--- a/crates/edge-proxy/src/unread.rs
+++ b/crates/edge-proxy/src/user_timeout.rs
@@ -15,16 +15,16 @@
 use tokio::net::TcpStream;
 
 /// Bytes that a peer's host takes whether its process reads or not.
-const ALWAYS_TAKEN: usize = 16 << 10;
+const MIN_RECEIVE_WINDOW: usize = 16 << 10;
 
 /// Bytes read at once, whatever room the reader has: the pieces in which answers are passed on.
-const MOST_AT_ONCE: usize = 6 << 10;
+const MAX_READ: usize = 6 << 10;
 
 /// What the peer of a connection may not have read yet, and how long it may take to read it.
 #[derive(Debug)]
-pub struct Unread {
+pub struct UnreadTracker {
     /// A host whose window is open and that acknowledges nothing is taken for silent after this.
-    silence: Duration,
+    silence_timeout: Duration,
     /// The peer has so long for the message under way.
     message_time: Cell<Duration>,
     /// Bytes of earlier messages that the peer may not have read.
@@ -33,95 +33,95 @@
     message_bytes: Cell<usize>,
 }
 
-impl Unread {
+impl UnreadTracker {
     /// Of a connection on which nothing was written.
-    pub fn new(silence: Duration) -> Rc<Unread> {
-        Rc::new(Unread {
-            silence,
-            message_time: Cell::new(silence),
+    pub fn new(silence_timeout: Duration) -> Rc<UnreadTracker> {
+        Rc::new(UnreadTracker {
+            silence_timeout,
+            message_time: Cell::new(silence_timeout),
             earlier_bytes: Cell::new(0),
             message_bytes: Cell::new(0),
         })
     }
 
     /// A message begins, which the peer may take so long to read.
-    pub fn begin(&self, message_time: Duration) {
+    pub fn start_message(&self, message_time: Duration) {
         self.message_time.set(message_time);
         self.earlier_bytes.set(self.earlier_bytes.get().saturating_add(self.message_bytes.take()));
     }
 
     /// The peer has answered the message under way: it has read all messages before it.
-    pub fn answered(&self) {
+    pub fn on_response(&self) {
         self.earlier_bytes.set(0);
     }
 
     /// Whether the peer may have left more unread than its host surely takes.
-    pub fn is_large(&self) -> bool {
-        self.earlier_bytes.get().saturating_add(self.message_bytes.get()) > ALWAYS_TAKEN
+    pub fn may_exceed_window(&self) -> bool {
+        self.earlier_bytes.get().saturating_add(self.message_bytes.get()) > MIN_RECEIVE_WINDOW
     }
 
-    fn wrote(&self, bytes: usize) {
+    fn record_written(&self, bytes: usize) {
         self.message_bytes.set(self.message_bytes.get().saturating_add(bytes));
     }
 
-    fn bound(&self) -> Duration {
-        if self.is_large() {
-            self.message_time.get().max(self.silence)
+    fn timeout(&self) -> Duration {
+        if self.may_exceed_window() {
+            self.message_time.get().max(self.silence_timeout)
         } else {
-            self.silence
+            self.silence_timeout
         }
     }
 }
 
 /// A connection over TCP that is bounded by what its peer may not have read.
-pub struct BoundedStream {
+pub struct AdaptiveTimeoutStream {
     stream: TcpStream,
-    unread: Rc<Unread>,
+    unread: Rc<UnreadTracker>,
     /// The bound that the socket has.
-    bound: Duration,
+    timeout: Duration,
 }
 
-impl BoundedStream {
+impl AdaptiveTimeoutStream {
     /// Sets what every connection of the system has. Errors: the socket refuses an option.
-    pub fn new(stream: TcpStream, unread: Rc<Unread>) -> std::io::Result<BoundedStream> {
-        let bound = unread.bound();
-        groom(&stream, bound)?;
-        Ok(BoundedStream { stream, unread, bound })
+    pub fn new(stream: TcpStream, unread: Rc<UnreadTracker>) -> std::io::Result<AdaptiveTimeoutStream> {
+        let timeout = unread.timeout();
+        groom(&stream, timeout)?;
+        Ok(AdaptiveTimeoutStream { stream, unread, timeout })
     }
 
     /// Gives the socket the bound of this moment.
-    fn bind(&mut self) {
-        let bound = self.unread.bound();
-        if bound != self.bound && milletwing_wire::bound_unacknowledged(&self.stream, bound).is_ok() {
-            self.bound = bound;
+    fn update_timeout(&mut self) {
+        let timeout = self.unread.timeout();
+        if timeout != self.timeout && milletwing_wire::bound_unacknowledged(&self.stream, timeout).is_ok() {
+            self.timeout = timeout;
         }
     }
 }
 
-impl AsyncRead for BoundedStream {
+impl AsyncRead for AdaptiveTimeoutStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<std::io::Result<()>> {
-        let most = buffer.remaining().min(MOST_AT_ONCE);
-        let mut piece = ReadBuf::new(buffer.initialize_unfilled_to(most));
-        ready!(Pin::new(&mut self.stream).poll_read(context, &mut piece))?;
-        let read = piece.filled().len();
+        let limit = buffer.remaining().min(MAX_READ);
+        let mut chunk = ReadBuf::new(buffer.initialize_unfilled_to(limit));
+        ready!(Pin::new(&mut self.stream).poll_read(context, &mut chunk))?;
+        let read = chunk.filled().len();
         buffer.advance(read);
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for BoundedStream {
+impl AsyncWrite for AdaptiveTimeoutStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<std::io::Result<usize>> {
         let written = ready!(Pin::new(&mut self.stream).poll_write(context, bytes))?;
-        self.unread.wrote(written);
-        self.bind();
+        self.unread.record_written(written);
+        self.update_timeout();
         Poll::Ready(Ok(written))
     }
     fn poll_write_vectored(
@@ -130,8 +130,8 @@
         bytes: &[std::io::IoSlice<'_>],
     ) -> Poll<std::io::Result<usize>> {
         let written = ready!(Pin::new(&mut self.stream).poll_write_vectored(context, bytes))?;
-        self.unread.wrote(written);
-        self.bind();
+        self.unread.record_written(written);
+        self.update_timeout();
         Poll::Ready(Ok(written))
     }
     fn is_write_vectored(&self) -> bool {
