--- a/crates/edge-proxy/src/core_feed.rs
+++ b/crates/edge-proxy/src/core_feed.rs
@@ -1,5 +1,6 @@
-//! Follows the core: one connection to the machine that answers first, resumed at another by the last entry folded. A
-//! machine that goes silent, or that doesn't hear its leader, is left for another.
+//! Follows the core over one connection, to the machine that accepts it first. After a change of
+//! machine, the feed resumes at the last log entry applied. The edge leaves a machine that is
+//! silent or has lost contact with its leader.
 
 use crate::edge::Edge;
 use milletwing_config::event;
@@ -18,22 +19,23 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Between an edge's beats, and between them while it has something to tell.
+/// Interval between reports without updates, and between reports with updates.
 const REPORT_INTERVAL: (Duration, Duration) = (Duration::from_millis(500), Duration::from_millis(250));
-/// Hosts told of in one beat, at most.
+/// Maximum number of hosts whose observations are sent in one report.
 const MAX_OBSERVATIONS_PER_REPORT: usize = 256;
-/// Milliseconds on the way from the edge that was told of a load to this one: half of a beat, of a round among the core's
-/// machines and of a pulse, and the links between.
+/// Typical age in milliseconds of a marshal's load, as reported by another edge, when it arrives
+/// here: half a report interval, half a round among the core machines, half a pulse interval, and
+/// the network latency between them.
 const LOAD_AGE_MS: u64 = 400;
-/// A core machine that says nothing for so long is left; its pulse comes five times a second.
+/// A core machine that sends nothing for this long is left; it sends five pulses a second.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
-/// One that doesn't hear its leader for so long is left.
+/// A core machine that has had no contact with its leader for this long is left.
 const STALE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Follows one core machine after the other.
+/// Follows one core machine after another.
 pub async fn follow(edge: Rc<Edge>) {
     let mut cores: Vec<u32> = Vec::new();
-    // Machines left lately, and until when.
+    // Machines that were left recently, and until when they are avoided.
     let mut recently_left: Vec<(u32, Instant)> = Vec::new();
     loop {
         recently_left.retain(|(_, until)| *until > Instant::now());
@@ -62,7 +64,7 @@
     }
 }
 
-/// Dials all, and takes the first that answers.
+/// Connects to all machines at once and takes the first connection that is established.
 async fn connect_first(known: &[u32], port: u16) -> Option<(u32, TcpStream)> {
     let mut connecting = JoinSet::new();
     for id in known.iter().copied() {
@@ -77,7 +79,7 @@
     None
 }
 
-/// Folds what one machine sends, until it is to be left. Gives the reason.
+/// Applies the messages of one core machine until the machine has to be left. Returns the reason.
 pub async fn listen(
     edge: &Rc<Edge>,
     reader: impl AsyncRead + Unpin,
@@ -102,7 +104,7 @@
             let reports = reporter.router.borrow_mut().reports(now);
             let observed = reporter.router.borrow_mut().observed(MAX_OBSERVATIONS_PER_REPORT);
             has_reports = !reports.is_empty();
-            // With nothing to tell, every second one is enough to say that it lives.
+            // Without updates, every second report is enough to show that the edge is alive.
             let reflection = reporter.pending_digest.take();
             let sample = reporter.router.borrow_mut().sample();
             let has_updates = !observed.is_empty() || reflection.is_some() || reporter.names_requested.get();
@@ -127,13 +129,14 @@
     let mut announced = false;
     let reason = loop {
         let message = {
-            // Guards against taking bytes of the message before for a sign of life: silence would be noticed only the second time.
+            // Bytes of the previous message must not count as activity: silence would be detected
+            // only after a second timeout.
             received.set(false);
             let mut next_message = std::pin::pin!(wire::read::<ToEdge>(&mut reader));
             loop {
                 match tokio::time::timeout(SILENCE_TIMEOUT, next_message.as_mut()).await {
                     Ok(message) => break message.map_err(|error| error.to_string()),
-                    // A long message on a narrow link is not silence.
+                    // A long message on a slow link is not silence.
                     Err(_) if received.replace(false) => {}
                     Err(_) => break Err("silent".into()),
                 }
@@ -153,7 +156,7 @@
                     *edge.view.borrow_mut() = view;
                     edge.rebuild();
                 }
-                Ok(_) => {} // within its life an edge never goes back
+                Ok(_) => {} // an edge never goes back to an older state while it runs
                 Err(error) => break error,
             },
             ToEdge::Repair(step) => edge.apply_repair(step),
@@ -166,8 +169,10 @@
             ToEdge::Pulse { fresh: hears_leader, index, cores: members, edges, loads } => {
                 let lags = index < edge.view.borrow().index;
                 if !lags {
-                    // All that edges are told up to there came before on this connection; a leader's first entry, or a change
-                    // of members, is none of it. Guards against standing behind the core for as long as nothing else comes.
+                    // Everything that edges receive up to this entry came earlier on this
+                    // connection. A leader's first entry and a change of members are not sent to
+                    // edges, so without this the index would lag behind the core until the next
+                    // entry that is.
                     edge.view.borrow_mut().index = index;
                 }
                 if hears_leader && !lags {
@@ -198,7 +203,7 @@
     reason
 }
 
-/// Notes that bytes came.
+/// A reader that records when bytes are received.
 struct ActivityReader<R> {
     reader: R,
     received: Rc<Cell<bool>>,
@@ -218,7 +223,8 @@
     }
 }
 
-/// Takes a whole state, unless it is older than what is folded: within its life an edge never goes back.
+/// Adopts a full state, unless it is older than the current one: an edge never goes back to an
+/// older state while it runs.
 fn adopt_view(edge: &Edge, view: View) {
     if view.index > edge.view.borrow().index {
         *edge.view.borrow_mut() = view;
@@ -239,7 +245,7 @@
     Ok(())
 }
 
-/// Reads the settings again whenever the file changes.
+/// Reloads the settings whenever their file changes.
 pub async fn watch_settings(edge: Rc<Edge>, path: PathBuf) {
     wire::watch(path, |settings| *edge.settings.borrow_mut() = settings).await;
 }
--- a/crates/edge-proxy/src/edge.rs
+++ b/crates/edge-proxy/src/edge.rs
@@ -1,4 +1,5 @@
-//! What all parts of an edge share: the decisions, the view of what the core agreed, connections to marshals, the clock.
+//! State shared by all parts of an edge: the router, the replicated view, the connection pool and
+//! the clock.
 
 use crate::metrics::Metrics;
 use crate::pool::{Connector, Pool};
@@ -11,22 +12,24 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Milliseconds between two digests of the tables in use; with over a thousand marshals, one for each.
+/// Interval between two digests of the routing tables. With more than a thousand marshals, one
+/// millisecond per marshal.
 const DIGEST_INTERVAL_MS: Time = 1_000;
 
-/// Milliseconds before this process ends by which a marshal is to be done: its answer still has to come back and go on.
+/// Milliseconds before the process exits by which a marshal must have finished, so that its
+/// response can still be received and forwarded.
 const RESPONSE_RETURN_MS: Time = 250;
 
-/// The time that a process has from SIGTERM to its end.
+/// When the phases of a shutdown begin, from SIGTERM to the exit of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownSchedule {
-    /// From here on only what is likely to be done by the end is taken.
+    /// From this time on, only requests that are likely to finish before `exits_at` are accepted.
     pub selective_from: Time,
-    /// This process ends.
+    /// The process exits.
     pub exits_at: Time,
 }
 
-/// Shared by all tasks of the one thread; no borrow lives across an await.
+/// State shared by all tasks. They run on one thread, and no borrow is held across an await.
 pub struct Edge {
     pub name: String,
     pub settings: RefCell<Settings>,
@@ -34,22 +37,25 @@
     pub view: RefCell<View>,
     pub pool: Pool,
     pub metrics: Metrics,
-    /// Clients' connections, and requests under way.
+    /// Open client connections, and requests in flight.
     pub connections: Cell<usize>,
     pub requests: Cell<usize>,
-    /// It leaves: no new client should come, and what comes is done by its end.
+    /// Set once a shutdown has begun: the edge attracts no new clients, and accepts only what
+    /// finishes before it exits.
     pub shutdown: Cell<Option<ShutdownSchedule>>,
-    /// It rests until the core finds that it routes by what was agreed.
+    /// Out of service by order of the core, until the core finds that the edge routes by the agreed
+    /// state.
     quarantined: Cell<bool>,
-    /// The core has it end in order.
+    /// Notified when the core orders the process to shut down, to be restarted by the platform.
     pub restart_requested: Notify,
-    /// What it routes by, to be told with the next beat; when that was made last; and whether it was asked for in whole.
+    /// The digest of the routing tables for the next report; when the last one was made; and
+    /// whether the core has requested the names behind the digest.
     pub pending_digest: Cell<Option<Reflection>>,
     digest_made_at: Cell<Time>,
     pub names_requested: Cell<bool>,
-    /// Idle connections close.
+    /// Notified when client connections are to close after the response in flight.
     pub close_connections: Notify,
-    /// What it says of itself has changed.
+    /// Notified when the status that the edge reports has changed.
     pub status_changed: Notify,
     revision: Cell<u64>,
     ingress: SocketAddrV4,
@@ -58,7 +64,7 @@
 }
 
 impl Edge {
-    /// Knows nothing yet. `connector`: how marshals are reached.
+    /// Creates an edge without a configuration. `connector` opens connections to marshals.
     pub fn new(settings: Settings, ingress: SocketAddrV4, connector: Connector) -> std::rc::Rc<Edge> {
         let location = Place {
             id: settings.id(),
@@ -91,17 +97,17 @@
         })
     }
 
-    /// Milliseconds since the process began; never 0.
+    /// Milliseconds since the process started; never 0.
     pub fn now(&self) -> Time {
         self.started.elapsed().as_millis() as Time + 1
     }
 
-    /// Whether clients should come.
+    /// Whether clients should be sent to this edge.
     pub fn ready(&self) -> bool {
         self.shutdown.get().is_none() && !self.quarantined.get() && self.router.borrow().ready()
     }
 
-    /// What the core is told.
+    /// The status of this edge as reported to the core.
     pub fn status(&self) -> EdgeStatus {
         let settings = self.settings.borrow();
         EdgeStatus {
@@ -114,13 +120,14 @@
         }
     }
 
-    /// No new client should come.
+    /// Takes the edge out of service and sets when it exits.
     pub fn begin_shutdown(&self, shutdown: ShutdownSchedule) {
         self.shutdown.set(Some(shutdown));
         self.status_changed.notify_waiters();
     }
 
-    /// Milliseconds that a marshal may work on a request, so that its own answer still passes here.
+    /// Milliseconds that a marshal may spend on a request so that its response can still be
+    /// forwarded before the deadline and before this process exits.
     pub fn processing_time_left(&self, deadline: Time) -> Time {
         let shutdown = self.shutdown.get();
         let work_deadline = shutdown
@@ -128,7 +135,8 @@
         work_deadline.saturating_sub(self.now())
     }
 
-    /// Whether a request that is expected to take so many milliseconds comes too late to be taken.
+    /// Whether a request that is expected to take `expected` milliseconds would not finish before
+    /// this process exits.
     pub fn is_too_late(&self, expected: Time) -> bool {
         let now = self.now();
         self.shutdown
@@ -136,8 +144,8 @@
             .is_some_and(|shutdown| now >= shutdown.selective_from && now + expected > shutdown.exits_at)
     }
 
-    /// Makes the digest of the tables in use, where the last one is a second old; later where they are large, so that it
-    /// takes no more than a few thousandths of the processor.
+    /// Makes a new digest of the routing tables if the last one is a second old. With large tables
+    /// it is made less often, so that it uses no more than a few thousandths of a processor.
     pub fn update_digest(&self, now: Time) {
         let due = self.digest_made_at.get()
             + DIGEST_INTERVAL_MS.max(self.view.borrow().nodes.len() as Time * DIGEST_INTERVAL_MS / 1_000);
@@ -150,7 +158,8 @@
         self.pending_digest.set(Some(Reflection { index: self.view.borrow().index, digest }));
     }
 
-    /// Does what the core has decided, to be brought back.
+    /// Applies a repair step that the core has ordered because this edge had drifted from the
+    /// agreed state.
     pub fn apply_repair(&self, step: Step) {
         event!(Repairs, "{}", step.word());
         match step {
@@ -159,12 +168,12 @@
                 self.status_changed.notify_waiters();
             }
             Step::End => self.restart_requested.notify_one(),
-            // The core's part: it sends again what lacks, or all.
+            // Done by the core: it resends the missing entries, or the whole state.
             Step::Again | Step::Renew => {}
         }
     }
 
-    /// The whole view has come anew: all tables are made from it.
+    /// Rebuilds all routing tables from a view that the core has sent in full.
     pub fn rebuild(&self) {
         event!(Repairs, "{}", Step::Renew.word());
         self.router.borrow_mut().renew(self.now(), &self.view.borrow());
@@ -172,7 +181,7 @@
         self.apply_view();
     }
 
-    /// The view has changed.
+    /// Updates the routing tables and the connection pool after a change of the view.
     pub fn apply_view(&self) {
         let was_ready = self.ready();
         let revision = self.view.borrow().revision;
--- a/crates/edge-proxy/src/health_probes.rs
+++ b/crates/edge-proxy/src/health_probes.rs
@@ -1,4 +1,5 @@
-//! Health of marshals, asked for only while the core is out of reach: nobody else tells an edge then that one has turned cold.
+//! Queries the health of marshals, only while the core is unreachable: during that time, nothing
+//! else tells an edge that a marshal has become cold.
 
 use crate::body::{buffer_body, OutgoingBody};
 use crate::edge::Edge;
@@ -10,14 +11,14 @@
 
 const NODE_ID: &str = "x-milletwing-node-id";
 const WARMUP_MS: &str = "x-milletwing-warmup-ms";
-/// Between two looks at what is due.
+/// Interval between two checks for due probes.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Probes begun in one of them at most.
+/// Maximum number of probes started per check.
 const MAX_PROBES_PER_POLL: usize = 8;
-/// A health answer that takes longer says nothing: it would be old.
+/// A health response that takes longer is ignored, because it would be out of date.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Asks for as long as the program runs.
+/// Sends probes for as long as the process runs.
 pub async fn run(edge: Rc<Edge>) {
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
@@ -33,7 +34,7 @@
     }
 }
 
-/// Asks one marshal: warm, cold, or nothing that can be relied on.
+/// Queries one marshal: whether it is warm, or `None` if there is no reliable response.
 async fn query_health(edge: &Rc<Edge>, probe: &Probe) -> Option<bool> {
     let mut lease = edge.pool.acquire(&probe.sending, false).await.ok()?;
     lease.sender.ready().await.ok()?;
@@ -50,7 +51,8 @@
     (status == StatusCode::OK).then(|| is_warm(&headers, &probe.sending.id))?
 }
 
-/// What a health answer says of this life; nothing where it is another's.
+/// Whether a health response says that the marshal is warm; `None` if the response comes from
+/// another incarnation at the same address.
 fn is_warm(headers: &HeaderMap, id: &str) -> Option<bool> {
     let id_matches = headers.get(NODE_ID)?.as_bytes() == id.as_bytes();
     let warmup_ms = headers
--- a/crates/edge-proxy/src/lib.rs
+++ b/crates/edge-proxy/src/lib.rs
@@ -1,5 +1,16 @@
-//! The program of an edge. `front` takes clients' connections, `watched` is one of them, `framing` tells where its heads begin and end, `validation` checks a request, `relay` takes it through `routing`'s decisions to its
-//! answer, `attempt` is one sending of it, `headers` the protocol's fields, `pool` keeps connections to marshals, `unread` bounds what a peer leaves unread, `probes` asks for their health while the core is out of reach, `body` and `out` what flows through, `feed` follows the core, `metrics` counts. One thread.
+//! The edge proxy: accepts client requests and forwards them to marshals, using the state that it
+//! receives from the core. All tasks run on one thread.
+//!
+//! - `server` accepts client connections and answers readiness checks; `client_stream` wraps one
+//!   client connection, and `framing` finds where its request heads begin and end.
+//! - `validation` checks a request, `relay` carries it from its head to its response by the
+//!   decisions of the routing crate, and `attempt` sends it to one marshal.
+//! - `headers` holds the header fields of the protocol; `body` and `response_body` carry request
+//!   and response bodies.
+//! - `pool` keeps connections to marshals, and `user_timeout` sets their TCP user timeout.
+//!   `health_probes` queries the health of marshals while the core is unreachable.
+//! - `core_feed` follows the core; `metrics` and `metrics_page` count and publish metrics.
+//! - `edge` is the state that all of them share.
 
 mod attempt;
 mod body;
@@ -32,17 +43,20 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Part of the time from SIGTERM to the end in which any new request is taken; later only what is likely to be done by the end, and the
-/// rest is told at once to go elsewhere.
+/// Fraction of the grace period after SIGTERM during which every request is accepted. Later, only
+/// requests that are likely to finish before the process exits are accepted; the others are refused
+/// at once, so that the client retries at another edge.
 const ACCEPT_ALL_FRACTION: f64 = 0.5;
-/// Seconds before the time from SIGTERM is over at which this process ends by itself.
+/// Seconds before the end of the grace period at which the process exits by itself.
 const EXIT_MARGIN_S: f64 = 0.25;
 
 /// Completes when the process is to shut down gracefully.
 pub type ShutdownSignal = Pin<Box<dyn Future<Output = ()>>>;
 
-/// Runs an edge until `shutdown` completes and the requests in flight have finished. `endpoint`: where metrics are served, if anywhere. Errors are for
-/// operators: a binding that is missing or taken.
+/// Runs an edge until `shutdown` completes and the requests in flight have finished.
+///
+/// Metrics are served at `endpoint`, if there is one. Returns an error message for operators if an
+/// address binding is missing or already in use.
 pub async fn run(
     settings: Settings,
     path: &Path,
@@ -75,11 +89,13 @@
     }
     tokio::select! {
         _ = shutdown => {}
-        // The core's last step to bring it back: the platform starts it again.
+        // The last repair step of the core for an inconsistent edge: it exits, and the platform
+        // restarts it.
         _ = edge.restart_requested.notified() => {}
     }
     event!(Term, "{} connections, {} requests", edge.connections.get(), edge.requests.get());
-    // Out of the directory and readiness at once; who still comes is served, and told to come no more.
+    // The edge leaves the directory and stops being ready at once. Clients that still connect are
+    // served, with `Connection: close`.
     let time_after = |seconds: f64| edge.now() + (seconds * 1_000.0) as u64;
     edge.begin_shutdown(ShutdownSchedule {
         selective_from: time_after(grace * ACCEPT_ALL_FRACTION),
@@ -87,7 +103,7 @@
     });
     let started = tokio::time::Instant::now();
     let instant_at = |seconds: f64| started + Duration::from_secs_f64(seconds);
-    // Clients hold a resolution for a while, some for three times as long.
+    // Clients cache a name resolution for a while, and some for three times as long as others.
     while tokio::time::Instant::now() < instant_at(grace * 0.8)
         && (edge.connections.get() > 0 || started.elapsed() < Duration::from_secs_f64(grace * 0.75))
     {
