--- a/crates/edge-proxy/src/attempt.rs
+++ b/crates/edge-proxy/src/attempt.rs
@@ -1,4 +1,5 @@
-//! One sending of a request to a marshal: its connection, the checks of the answer, and the answer's way to the client.
+//! One attempt to send a request to a marshal: it gets a connection, sends the request, checks the
+//! response and builds the response for the client.
 
 use crate::body::{buffer_body, concat, BodyError, BufferedBody, OutgoingBody, Upload};
 use crate::edge::Edge;
@@ -21,19 +22,20 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What is left until a deadline.
+/// The time left until a deadline.
 pub fn time_left(edge: &Edge, deadline: Time) -> Duration {
     Duration::from_millis(deadline.saturating_sub(edge.now()))
 }
 
-/// A request's body, for one sending or for several.
+/// A request body that can be sent in several attempts if it is buffered, and in only one if it is
+/// streamed.
 pub enum RequestBody {
     Buffered(Bytes),
     Streaming(Option<Box<Upload>>),
 }
 
 impl RequestBody {
-    /// Whether it can be sent once more.
+    /// Whether the body can still be sent in a further attempt.
     pub fn can_send(&self) -> bool {
         !matches!(self, RequestBody::Streaming(None))
     }
@@ -48,14 +50,14 @@
     }
 }
 
-/// A sending that is out: dropped with it, the marshal is free again.
+/// An attempt in progress. If it is dropped, the marshal no longer counts the attempt as running.
 pub struct SendGuard {
     edge: Rc<Edge>,
     sending: Option<Sending>,
 }
 
 impl SendGuard {
-    /// The sending has ended, and its end is told otherwise.
+    /// Releases the attempt without reporting it as dropped: its outcome is reported by the caller.
     pub fn disarm(mut self) -> Sending {
         self.sending.take().unwrap_or_else(|| unreachable!("a guard is disarmed once"))
     }
@@ -69,7 +71,7 @@
     }
 }
 
-/// How a sending ended.
+/// The outcome of an attempt.
 pub struct AttemptOutcome {
     pub guard: SendGuard,
     pub result: SendResult,
@@ -77,7 +79,7 @@
     pub answer: Option<MarshalResponse>,
 }
 
-/// A marshal's answer, checked, its beginning here.
+/// A marshal's response that has passed its checks, with the start of its body.
 pub struct MarshalResponse {
     response: Response<()>,
     body: BufferedBody,
@@ -86,7 +88,7 @@
     exact_size: Option<u64>,
 }
 
-/// Sends a request to a marshal, until its deadline.
+/// Sends a request to a marshal and waits for the response until the deadline.
 pub fn send<'a>(
     edge: &Rc<Edge>,
     parts: &Parts,
@@ -126,7 +128,8 @@
     }
 }
 
-/// Sends a request on a connection, and checks the answer's head and beginning.
+/// Sends a request on a pooled or new connection, and checks the head of the response and the start
+/// of its body.
 async fn send_and_check(
     edge: &Rc<Edge>,
     sending: &Sending,
@@ -155,7 +158,7 @@
         match lease.sender.try_send_request(request).await {
             Ok(response) => break (lease, response),
             Err(mut error) => match error.take_message() {
-                // Given back: not a byte of it was written.
+                // The request was returned by the client library: not a byte of it was written.
                 Some(returned) if lease.reused => {
                     request = returned;
                     new_only = true;
@@ -174,14 +177,14 @@
     let id_matches = headers.get(ATTEMPT_ID).map(|echoed_id| echoed_id.as_bytes() == id.as_bytes());
     let not_executed = headers.contains_key(NOT_EXECUTED);
     if id_matches == Some(false) || (id_matches.is_none() && !not_executed && parts.status != 421) {
-        return Err(SendResult::Broken); // another request's answer, or bytes that belong to none
+        return Err(SendResult::Broken); // the response belongs to another request, or to none
     }
     lease.unread.on_response();
     if parts.status == 421 {
         return Err(SendResult::Moved);
     }
     if not_executed && parts.status != 400 {
-        // The connection may be used again once the rest has come.
+        // The connection can be reused once the whole body has been received.
         let keep_alive = keep_alive_timeout(headers);
         let complete = buffer_body(body).await.is_ok_and(|body| body.rest.is_none());
         if complete && !closes_connection(headers) {
@@ -191,11 +194,12 @@
         return Err(SendResult::TurnedAway);
     }
     let exact_size = body.size_hint().exact();
-    // An answer without a length ends with its connection: one that is reset is an error of the body, not its end.
+    // The body of a response without a length ends when its connection closes. A reset is then an
+    // error of the body, not its end.
     let framed = exact_size.is_some() || headers.contains_key(header::TRANSFER_ENCODING);
     let sealed = headers.contains_key(SERVER_SEAL) || !parts.status.is_success();
     if headers.contains_key(header::CONTENT_ENCODING) || !sealed {
-        return Err(SendResult::Broken); // not the marshal's bytes
+        return Err(SendResult::Broken); // the body is not as the marshal sent it
     }
     let keep_alive = if closes_connection(headers) || !framed {
         Some(Duration::ZERO)
@@ -208,7 +212,8 @@
     Ok((result, MarshalResponse { response, body, lease, keep_alive, exact_size }))
 }
 
-/// The error below all others: "timed out" is this machine's own verdict, "reset" its peer's.
+/// The innermost cause of an error: "timed out" comes from this host's own timer, "reset" from the
+/// peer.
 fn root_cause(error: &dyn Error) -> &dyn Error {
     let mut cause = error;
     while let Some(source) = cause.source() {
@@ -217,9 +222,10 @@
     cause
 }
 
-/// Gives a marshal's answer to the client, as it is.
+/// Builds the response for the client from a marshal's response, with its status and body
+/// unchanged.
 ///
-/// `deadline`: the end of its request's time.
+/// `deadline` is the deadline of the request.
 pub fn client_response(
     edge: &Rc<Edge>,
     answer: MarshalResponse,
--- a/crates/edge-proxy/src/body.rs
+++ b/crates/edge-proxy/src/body.rs
@@ -1,5 +1,7 @@
-//! What flows through: bodies, of which a little is gathered, so that a request can be sent again and a short answer is known
-//! to be whole; the rest streams, at the pace of whoever is slower. Here a request's towards a marshal.
+//! Request bodies, and what both directions share.
+//!
+//! The start of each body is buffered, so that a request can be sent again and a short response is
+//! known to be complete. The rest is streamed at the pace of the slower side.
 
 use crate::client_stream::Exchange;
 use bytes::Bytes;
@@ -13,30 +15,31 @@
 use std::task::{Context, Poll};
 use tokio::time::{Instant, Sleep};
 
-/// Bytes that are gathered before anything is sent on.
+/// A body up to this size is buffered in full before it is forwarded, in bytes; a larger one is
+/// streamed.
 pub const BUFFER_LIMIT: usize = 16 << 10;
 
-/// Why a body ends early.
+/// Why a body ended before it was complete.
 #[derive(Debug, derive_more::Display, derive_more::Error)]
 pub enum BodyError {
-    /// The other side broke off.
+    /// The sender ended the connection.
     #[display("body interrupted")]
     Interrupted,
-    /// It is longer than allowed.
+    /// The body exceeds the size limit.
     #[display("body too large")]
     TooLarge,
-    /// It has not come in its request's time.
+    /// The body did not arrive before the deadline of its request.
     #[display("body timed out")]
     TimedOut,
 }
 
-/// The beginning of a body, and the rest if there is more.
+/// The start of a body, and the rest if there is more.
 pub struct BufferedBody {
     pub buffered: VecDeque<Bytes>,
     pub rest: Option<Incoming>,
 }
 
-/// Reads a body until its end, or until so much is there that it will be streamed.
+/// Reads a body to its end, or until more than [`BUFFER_LIMIT`] bytes are buffered.
 pub async fn buffer_body(mut body: Incoming) -> Result<BufferedBody, BodyError> {
     let mut buffered = VecDeque::new();
     let mut size = 0;
@@ -60,7 +63,7 @@
     }
 }
 
-/// One piece of what was gathered.
+/// Joins the buffered pieces into one.
 pub fn concat(mut buffered: VecDeque<Bytes>) -> Bytes {
     if buffered.len() <= 1 {
         return buffered.pop_front().unwrap_or_default();
@@ -68,28 +71,30 @@
     buffered.iter().flatten().copied().collect()
 }
 
-/// A request's body towards a marshal.
+/// The body of a request to a marshal.
 pub enum OutgoingBody {
-    /// All of it is here.
+    /// The whole body.
     Buffered(Option<Bytes>),
-    /// It goes on as it comes.
+    /// A body that is forwarded while it is received.
     Streaming(Box<Upload>),
 }
 
-/// A body that goes on to a marshal as it comes from its client, also behind an early answer.
+/// A request body that is forwarded while it is received, even after the marshal has already
+/// responded.
 pub struct Upload {
     buffered: VecDeque<Bytes>,
     rest: Incoming,
-    /// Bytes that may still come.
+    /// Bytes that may still be received.
     remaining_bytes: u64,
-    /// The end of the request's time: nobody waits for the rest then.
+    /// Expires at the deadline of the request, which ends the wait for the rest of the body.
     deadline_timer: Pin<Box<Sleep>>,
-    /// Its client's connection is in use for as long.
+    /// Keeps the client connection marked as in use while the upload lasts.
     _exchange: Rc<Exchange>,
 }
 
 impl Upload {
-    /// Of what was gathered and what comes behind it, `remaining_bytes` bytes at most, until `deadline`.
+    /// Forwards the buffered start, then up to `remaining_bytes` bytes of the body, until
+    /// `deadline`.
     pub fn new(
         buffered: VecDeque<Bytes>,
         rest: Incoming,
@@ -146,7 +151,7 @@
     }
 }
 
-/// What was gathered, then what goes on coming.
+/// Polls the next frame of a body: first the buffered start, then the rest.
 pub fn poll_next_frame(
     buffered: &mut VecDeque<Bytes>,
     rest: &mut Incoming,
@@ -158,7 +163,7 @@
     }
 }
 
-/// The size of what goes on coming, and of what was gathered before it.
+/// The size of the rest of a body together with its buffered start.
 pub fn total_size_hint(rest: SizeHint, buffered: &VecDeque<Bytes>) -> SizeHint {
     let buffered_bytes: u64 = buffered.iter().map(|bytes| bytes.len() as u64).sum();
     match rest.exact() {
--- a/crates/edge-proxy/src/headers.rs
+++ b/crates/edge-proxy/src/headers.rs
@@ -1,26 +1,26 @@
-//! The protocol's header fields, and what concerns one connection only.
+//! Header fields of the protocol, and the handling of hop-by-hop fields.
 
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use std::time::Duration;
 
-/// The id of one try of a client.
+/// Identifies one attempt of a client.
 pub const ATTEMPT_ID: HeaderName = HeaderName::from_static("x-milletwing-attempt-id");
-/// Milliseconds for which the client waits.
+/// Milliseconds for which the client still waits.
 pub const REMAINING_MS: HeaderName = HeaderName::from_static("x-milletwing-remaining-ms");
-/// The marshal that alone may run the request.
+/// The only marshal that may execute the request.
 pub const TARGET_NODE: HeaderName = HeaderName::from_static("x-milletwing-target-node");
-/// The marshal's stamp on its answer.
+/// Set by the marshal on each of its responses.
 pub const SERVER_SEAL: HeaderName = HeaderName::from_static("x-milletwing-server-seal");
-/// The tenant whose key the client sent; set by the system alone.
+/// Name of the tenant whose key the client sent; set only by this system.
 pub const SUBSCRIBER: HeaderName = HeaderName::from_static("x-milletwing-subscriber");
-/// The marshal did not run the request.
+/// The marshal did not execute the request.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-milletwing-not-executed");
-/// The marshal's load, as it tells it.
+/// The load that the marshal reports.
 pub const NODE_LOAD: HeaderName = HeaderName::from_static("x-milletwing-node-load");
-/// How long an idle connection is kept.
+/// How long an idle connection is kept open.
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Headers that concern one connection only (RFC 9110, 7.6.1); framing is made anew on each side.
+/// Hop-by-hop header fields (RFC 9110, 7.6.1); each side of the proxy has its own message framing.
 pub const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     KEEP_ALIVE,
@@ -33,7 +33,7 @@
     header::UPGRADE,
 ];
 
-/// Takes away what concerns one connection only.
+/// Removes the hop-by-hop header fields, including those that `Connection` names.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -47,10 +47,11 @@
     }
 }
 
-/// How a key is given in `Authorization`; schemes are compared without case (RFC 9110, 11.1).
+/// The `Authorization` scheme for keys; schemes are compared case-insensitively (RFC 9110, 11.1).
 pub const KEY_SCHEME: &str = "Token";
 
-/// The key of a request. Two fields, or another scheme, give none.
+/// The tenant key of a request; `None` if there are two `Authorization` fields or the scheme is
+/// another.
 pub fn tenant_key(headers: &HeaderMap) -> Option<&str> {
     let mut fields = headers.get_all(header::AUTHORIZATION).iter();
     let field = fields.next().filter(|_| fields.next().is_none())?;
@@ -58,8 +59,11 @@
     scheme.eq_ignore_ascii_case(KEY_SCHEME).then(|| key.trim())
 }
 
-/// Makes a request's head say whose it is, whatever its client wrote there. `tenant`: the tenant's name, where the request
-/// bore its key. `keyed`: the configuration has tenants, so that keys are this system's and not the marshals'.
+/// Sets the tenant name in the head of a request, overriding any value from the client.
+///
+/// `tenant` is the name of the tenant whose key the request carries, if any. `requires_keys` says
+/// that the configuration has tenants: `Authorization` is then meant for this system and is not
+/// forwarded to marshals.
 pub fn set_tenant(headers: &mut HeaderMap, tenant: Option<&str>, requires_keys: bool) {
     headers.remove(SUBSCRIBER);
     if requires_keys {
@@ -76,7 +80,7 @@
     values.flat_map(|value| value.split(',')).any(|token| token.trim().eq_ignore_ascii_case("close"))
 }
 
-/// For how long a marshal says that it keeps an idle connection.
+/// How long a marshal announces to keep an idle connection open.
 pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
--- a/crates/edge-proxy/src/pool.rs
+++ b/crates/edge-proxy/src/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to marshals: one request at a time on each, the one used last first, none that its marshal may be about
-//! to close.
+//! Connection pool for marshals. A connection carries one request at a time. The most recently used
+//! one is reused first, and none that its marshal may be about to close.
 
 use crate::body::OutgoingBody;
 use crate::user_timeout::{AdaptiveTimeoutStream, UnreadTracker};
@@ -16,15 +16,16 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::time::Instant;
 
-/// A marshal's host that acknowledges nothing for so long has no power, or is cut off.
+/// A host that acknowledges nothing for this long has lost power or is unreachable.
 const SILENT_HOST_TIMEOUT: Duration = Duration::from_millis(700);
-/// A connection that doesn't come up in this time is given up.
+/// Time allowed for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Idle connections are used no longer than this, or than half of what the marshal tells: what is sent on one that was
-/// just closed may have run.
+/// A connection is not reused after it has been idle for this long, or for half of the keep-alive
+/// time that the marshal announces: a request sent on a connection that was just closed may have
+/// been executed.
 const MAX_IDLE: Duration = Duration::from_secs(4);
 
-/// Bytes of the head of a marshal's answer, at most.
+/// Maximum size of the head of a marshal's response, in bytes.
 const MAX_RESPONSE_HEAD: usize = 32 << 10;
 
 struct IdleConnection {
@@ -39,41 +40,43 @@
     open_count: Rc<Cell<usize>>,
 }
 
-/// What a connection runs on.
+/// The byte stream of a connection.
 pub trait Transport: AsyncRead + AsyncWrite + Unpin {}
 impl<S: AsyncRead + AsyncWrite + Unpin> Transport for S {}
 
-/// Makes a connection to an address, or gives up in its time. What its peer may not have read is noted for it.
+/// Opens a connection to an address, with its own time limit, and records in the tracker what its
+/// peer may not have read yet.
 pub type Connector = Box<
     dyn Fn(SocketAddrV4, Rc<UnreadTracker>) -> LocalBoxFuture<'static, std::io::Result<Box<dyn Transport>>>,
 >;
 
-/// All connections, by marshal.
+/// Idle connections and the number of open ones, by marshal.
 pub struct Pool {
     by_marshal: RefCell<HashMap<u64, MarshalConnections, RandomState>>,
     connect: Connector,
 }
 
-/// A connection in use; it goes back to the pool by [`Pool::give_back`], or is closed when dropped.
+/// A connection in use. It returns to the pool by [`Pool::release`], and is closed if it is
+/// dropped.
 pub struct Lease {
     pub sender: SendRequest<OutgoingBody>,
     pub marshal: u64,
-    /// What the marshal may not have read yet.
+    /// Tracks what the marshal may not have read yet.
     pub unread: Rc<UnreadTracker>,
-    /// It has carried a request before.
+    /// The connection has carried a request before.
     pub reused: bool,
 }
 
 /// Why there is no connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcquireError {
-    /// None came up.
+    /// No connection could be opened.
     ConnectFailed,
-    /// As many as this edge may hold are in use.
+    /// This edge already has as many connections to the marshal as it may hold.
     AtLimit,
 }
 
-/// Connections over TCP.
+/// Opens connections over TCP.
 pub fn tcp_connector() -> Connector {
     Box::new(|address, unread| {
         Box::pin(async move {
@@ -84,12 +87,12 @@
 }
 
 impl Pool {
-    /// No connections yet; `connect` makes them.
+    /// Creates an empty pool; `connect` opens its connections.
     pub fn new(connect: Connector) -> Pool {
         Pool { by_marshal: RefCell::default(), connect }
     }
 
-    /// A connection to a marshal. `new_only`: a new one.
+    /// Returns an idle or new connection to a marshal; always a new one if `new_only` is set.
     pub async fn acquire(&self, sending: &Sending, new_only: bool) -> Result<Lease, AcquireError> {
         let open_count = {
             let mut by_marshal = self.by_marshal.borrow_mut();
@@ -117,15 +120,18 @@
         let (sender, connection) =
             builder.handshake(TokioIo::new(stream)).await.map_err(|_| AcquireError::ConnectFailed)?;
         tokio::task::spawn_local(async move {
-            let _ = connection.await; // whoever uses it hears of its end
+            let _ = connection.await; // the sender of the connection sees its end
             drop(open_guard);
         });
         Ok(Lease { sender, marshal: sending.marshal, unread, reused: false })
     }
 
-    /// A connection whose answer has ended whole. `keep_alive`: for how long its marshal says that it keeps it.
+    /// Returns a connection to the pool after a complete response. `keep_alive` is how long the
+    /// marshal announces to keep it open.
     ///
-    /// A marshal may answer a large request before it has read its body, and the next one would wait behind that.
+    /// The connection is not reused if the marshal may not have read everything yet: it may respond
+    /// to a large request before it has read the body, and the next request would wait behind that
+    /// body.
     pub fn release(&self, lease: Lease, keep_alive: Option<Duration>) {
         if lease.sender.is_closed() || lease.unread.may_exceed_window() {
             return;
@@ -133,7 +139,8 @@
         let usable_until =
             Instant::now() + keep_alive.map_or(MAX_IDLE, |keep_alive| (keep_alive / 2).min(MAX_IDLE));
         if let Some(connections) = self.by_marshal.borrow_mut().get_mut(&lease.marshal) {
-            // The newest is used first; what the load no longer needs runs out of time at the bottom.
+            // The most recently returned connection is used first, so that the surplus ones at the
+            // bottom of the stack expire.
             let now = Instant::now();
             connections.idle.retain(|idle| idle.usable_until > now && !idle.sender.is_closed());
             connections.idle.push(IdleConnection {
@@ -144,13 +151,13 @@
         }
     }
 
-    /// Drops what belongs to marshals that are gone.
+    /// Drops the idle connections to marshals that no longer exist.
     pub fn retain_marshals(&self, is_known: impl Fn(u64) -> bool) {
         self.by_marshal.borrow_mut().retain(|marshal, _| is_known(*marshal));
     }
 }
 
-/// Counts a connection for as long as it lives.
+/// Counts a connection as open until it is dropped.
 struct OpenCount(Rc<Cell<usize>>);
 
 impl Drop for OpenCount {
--- a/crates/edge-proxy/src/relay.rs
+++ b/crates/edge-proxy/src/relay.rs
@@ -1,5 +1,5 @@
-//! One request from its head to its answer. What to do is `router`'s word; here it is done: bytes are sent, answers are
-//! checked, clocks run.
+//! Carries one request from its head to its response. The router decides what to do; this module
+//! does it: it sends bytes, checks responses and runs timers.
 
 use crate::attempt::{client_response, send, time_left, AttemptOutcome, MarshalResponse, RequestBody};
 use crate::body::{buffer_body, concat, BufferedBody, Upload};
@@ -22,9 +22,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Seconds after which a client may come back elsewhere, where other machines have room.
+/// Seconds after which a client may retry at another edge when this one is shutting down and others
+/// have capacity.
 const RETRY_ELSEWHERE_S: f64 = 0.02;
-/// Requests under way at once; more are refused, so that their memory is bounded.
+/// Maximum number of requests in flight; more are refused, to bound memory use.
 const MAX_REQUESTS: usize = 1_500;
 
 struct RequestCount(Rc<Edge>);
@@ -35,7 +36,7 @@
     }
 }
 
-/// Answers a request.
+/// Handles a request, and returns either a marshal's response or a refusal of this edge.
 pub async fn answer(
     edge: Rc<Edge>,
     request: Request<Incoming>,
@@ -88,13 +89,13 @@
         headers.insert(header::WWW_AUTHENTICATE, HeaderValue::from_static(KEY_SCHEME));
     }
     if matches!(kind, Kind::BadRequest(_) | Kind::BodyTooLarge | Kind::HeadTooLarge) {
-        // What may follow on this connection can't be told from the rest of this request.
+        // The rest of this request cannot be told apart from what follows on the connection.
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
 
-/// A request that was read, and may be sent.
+/// A request that passed its checks and is ready to be sent.
 struct PreparedRequest {
     parts: Parts,
     body: RequestBody,
@@ -109,7 +110,7 @@
     }
 }
 
-/// Checks a request, finds its route, and takes its body as far as it is kept for further sendings.
+/// Checks a request, finds its route, and buffers the start of its body for the attempts.
 async fn prepare(
     edge: &Rc<Edge>,
     request: Request<Incoming>,
@@ -136,9 +137,10 @@
             key: tenant_key(&parts.headers),
         };
         let ticket = router.arrive(edge.now(), head).map_err(|kind| refuse(kind, None))?;
-        // Before what is told of the tenant: a client may name that field as one of its connection.
+        // Before the tenant is set: a client may list that header field in its `Connection` header.
         remove_hop_by_hop(&mut parts.headers);
-        // At once, by the configuration that the request was let in by: while its body comes, another may take its place.
+        // At once, with the configuration that the request was accepted by: a new one may come into
+        // force while the body arrives.
         set_tenant(&mut parts.headers, ticket.tenant.as_ref().map(|tenant| &*tenant.name), router.keyed());
         ticket
     };
@@ -167,7 +169,7 @@
     Ok(PreparedRequest { parts, body, ticket, host, id })
 }
 
-/// A marshal's answer with the class of its route, or the kind of this edge's own.
+/// Returns a marshal's response with the class of its route, or why this edge refuses the request.
 async fn relay(
     edge: &Rc<Edge>,
     request: Request<Incoming>,
@@ -176,7 +178,7 @@
     let mut prepared = prepare(edge, request, exchange).await?;
     let first = edge.router.borrow_mut().pick(edge.now(), &mut prepared.ticket);
     let first = first.map_err(|kind| prepared.refuse(kind))?;
-    // Guards against taking what may not be done before this process ends.
+    // Refuses a request that is unlikely to finish before this process exits.
     let expected = edge.router.borrow().may_take(edge.now(), &prepared.ticket, &first);
     if edge.is_too_late(expected) {
         edge.router.borrow_mut().ended(edge.now(), &mut prepared.ticket, &first, SendResult::Unsent, None);
@@ -187,8 +189,8 @@
     try_marshals(edge, &mut prepared, first).await
 }
 
-/// Sends a request to one marshal after the other, and to a second beside the first where that is slow, until one has served it,
-/// no further one may be tried, or its time is over.
+/// Sends a request to one marshal after another, with a hedged attempt at a second one if the first
+/// is slow, until one has served it, no further attempt is allowed, or the deadline has passed.
 async fn try_marshals(
     edge: &Rc<Edge>,
     prepared: &mut PreparedRequest,
@@ -214,7 +216,8 @@
                     let next = edge.router.borrow_mut().pick(edge.now(), &mut prepared.ticket);
                     match next {
                         Ok(next) => {
-                            // The timer of the sending that has ended says nothing of this one.
+                            // The hedge timer was set for the attempt that has ended; the new one
+                            // gets its own delay.
                             let hedge_delay = edge.router.borrow().patience(&prepared.ticket, &next);
                             if let Some(hedge_delay) = hedge_delay {
                                 let until = tokio::time::Instant::now() + Duration::from_millis(hedge_delay);
@@ -247,7 +250,7 @@
     }
 }
 
-/// Counts the end of a sending for the marshal, and gives what came of it.
+/// Reports the outcome of an attempt to the router, and returns the result with the response.
 fn record_outcome(
     edge: &Edge,
     prepared: &mut PreparedRequest,
@@ -268,7 +271,7 @@
     (result, answer)
 }
 
-/// A marshal's own word goes before ours.
+/// Returns the marshal's own response if there is one, and a refusal of this edge otherwise.
 fn final_response(
     edge: &Rc<Edge>,
     prepared: &PreparedRequest,
@@ -284,7 +287,7 @@
     }
 }
 
-/// What a client is told where no marshal's answer can be.
+/// The reason given to the client when there is no response of a marshal.
 fn refusal_kind(ticket: &Ticket, result: SendResult) -> Kind {
     match result {
         SendResult::Silent => Kind::Silent,
--- a/crates/edge-proxy/src/response_body.rs
+++ b/crates/edge-proxy/src/response_body.rs
@@ -1,4 +1,4 @@
-//! An answer's body towards a client.
+//! Response bodies on their way to a client.
 
 use crate::body::{poll_next_frame, total_size_hint, BodyError};
 use crate::edge::Edge;
@@ -14,41 +14,44 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep};
 
-/// What is reported when a streamed answer has ended.
+/// Called when a streamed response has ended, with whether it was complete.
 pub type OnEnd = Box<dyn FnOnce(bool)>;
 
-/// An answer's body towards a client.
+/// The body of a response to a client.
 pub enum ResponseBody {
-    /// All of it is here.
+    /// The whole body.
     Buffered(Option<Bytes>),
-    /// It goes on as it comes.
+    /// A body that is forwarded while it is received.
     Streaming(Box<StreamedBody>),
 }
 
-/// A marshal that says nothing for so long in the middle of an answer, its request's time being over, has broken off.
+/// Once the deadline of the request has passed, a marshal that sends nothing for this long in the
+/// middle of a response is taken to have failed.
 const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The bound on an answer that stalls: its request's time, or [`STALL_TIMEOUT`] behind its last bytes where that is later.
+/// Limits how long a response may stall: until the deadline of its request, or until
+/// [`STALL_TIMEOUT`] after its last bytes, whichever is later.
 pub struct StallTimer {
-    /// When something last came.
+    /// When bytes were last received.
     last_progress: Instant,
     timer: Pin<Box<Sleep>>,
 }
 
 impl StallTimer {
-    /// Of an answer that has begun to come; its request's time ends at `deadline`.
+    /// Starts the timer for a response that has begun to arrive; its request has the given
+    /// deadline.
     pub fn new(deadline: Instant) -> StallTimer {
         let last_progress = Instant::now();
         let timer = Box::pin(tokio::time::sleep_until(deadline.max(last_progress + STALL_TIMEOUT)));
         StallTimer { last_progress, timer }
     }
 
-    /// Something has come.
+    /// Records that bytes were received.
     fn record_progress(&mut self) {
         self.last_progress = Instant::now();
     }
 
-    /// Ready once the answer has stalled for too long.
+    /// Ready once the response has stalled for too long.
     fn poll(&mut self, context: &mut Context<'_>) -> Poll<()> {
         ready!(self.timer.as_mut().poll(context));
         let stalled_at = self.last_progress + STALL_TIMEOUT;
@@ -60,7 +63,7 @@
     }
 }
 
-/// A streamed answer, with the connection that it comes on.
+/// A streamed response body, with the connection that it is received on.
 pub struct StreamedBody {
     pub buffered: VecDeque<Bytes>,
     pub rest: Incoming,
@@ -111,7 +114,8 @@
             ResponseBody::Streaming(stream) => {
                 let polled = stream.poll_next(context);
                 match &polled {
-                    // The client's connection is cut as well: an answer that ends early must not look whole.
+                    // The client connection is cut as well: a truncated response must not look
+                    // complete.
                     Poll::Ready(Some(Err(_))) => stream.finish(false),
                     Poll::Ready(None) => stream.finish(true),
                     _ => {}
--- a/crates/edge-proxy/src/validation.rs
+++ b/crates/edge-proxy/src/validation.rs
@@ -1,4 +1,4 @@
-//! Whether a client's request is one at all, and within the bounds of the configuration.
+//! Checks whether a client's request is valid HTTP and within the configured limits.
 
 use crate::client_stream::ConnectionState;
 use crate::edge::Edge;
@@ -9,7 +9,8 @@
 use hyper::{Method, Version};
 use milletwing_config::Kind;
 
-/// Whether a request is one at all, and within bounds. Gives the largest body.
+/// Checks whether a request is valid and within the configured limits. Returns the largest body
+/// allowed.
 pub fn check_request(
     edge: &Edge,
     parts: &Parts,
