--- a/crates/edge-proxy/src/client_stream.rs
+++ b/crates/edge-proxy/src/client_stream.rs
@@ -1,5 +1,5 @@
-//! A client's connection with what is noticed of the bytes that come: what the library that reads heads doesn't tell, and how
-//! long it has waited for them.
+//! A client connection that observes the bytes received on it, for what the HTTP library does not
+//! report about request heads, and that enforces time limits on idle connections and slow heads.
 
 use crate::framing::Framing;
 use crate::user_timeout::UnreadTracker;
@@ -11,42 +11,43 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// What a client's connection is at.
+/// The phase that a client connection is in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionPhase {
-    /// Nothing has come since the last answer.
+    /// Nothing has been received since the last response.
     Idle,
-    /// A head has begun.
+    /// A request head is being received.
     Head,
-    /// A request is under way.
+    /// A request is in progress.
     Request,
 }
 
-/// What was noticed of the bytes that came, for the request that is made of them.
+/// The state of a client connection, shared between its stream and its requests.
 #[derive(Debug)]
 pub struct ConnectionState {
-    /// Where its heads begin and end, and what they hold.
+    /// Where the request heads begin and end, and what was found in them.
     pub framing: RefCell<Framing>,
-    /// What the connection is at.
+    /// The current phase.
     pub phase: Cell<ConnectionPhase>,
-    /// Exchanges under way: a request's body may come to its end behind its answer, as the next one comes.
+    /// Exchanges in progress. There may be two: the body of a request may still arrive after its
+    /// response, while the next request begins.
     exchanges: Cell<usize>,
-    /// What the client may not have read of its answers.
+    /// Tracks what the client may not have read of its responses.
     pub unread: Rc<UnreadTracker>,
 }
 
-/// A request and its answer: the connection is not idle before both have come to their end.
+/// A request and its response. The connection is not idle before both have ended.
 pub struct Exchange(Rc<ConnectionState>);
 
 impl Exchange {
-    /// A request's head has come.
+    /// Begins an exchange when a request head has been received.
     pub fn begin(state: &Rc<ConnectionState>) -> Rc<Exchange> {
         state.phase.set(ConnectionPhase::Request);
         state.exchanges.set(state.exchanges.get() + 1);
         Rc::new(Exchange(Rc::clone(state)))
     }
 
-    /// What was noticed of its bytes.
+    /// The state of the connection.
     pub fn state(&self) -> &ConnectionState {
         &self.0
     }
@@ -62,18 +63,19 @@
     }
 }
 
-/// A client's connection, and what was noticed of the bytes that came.
+/// A client connection that observes the bytes received on it.
 pub struct ClientStream<S> {
     stream: S,
     state: Rc<ConnectionState>,
-    /// How long it may be idle, and how long a head may take; what `timer` was set for.
+    /// The time limits for an idle connection and for receiving a head. `timer_phase` is the phase
+    /// that `timer` was set for.
     timeouts: (Duration, Duration),
     timer: Pin<Box<tokio::time::Sleep>>,
     timer_phase: ConnectionPhase,
 }
 
 impl ConnectionState {
-    /// Of a connection on which nothing has come yet.
+    /// Creates the state of a connection on which nothing has been received.
     pub fn new(unread: Rc<UnreadTracker>) -> Rc<ConnectionState> {
         Rc::new(ConnectionState {
             framing: RefCell::default(),
@@ -85,7 +87,7 @@
 }
 
 impl<S> ClientStream<S> {
-    /// Of a connection that may be idle, and take for a head, for so long.
+    /// Wraps a connection with the given time limits for being idle and for receiving a head.
     pub fn new(
         stream: S,
         state: Rc<ConnectionState>,
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Ready once an idle connection, or a head that comes byte by byte, has had its time.
+    /// Ready once an idle connection, or a head that arrives byte by byte, has used up its time.
     fn poll_timeout(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let phase = self.state.phase.get();
         if phase == ConnectionPhase::Request {
@@ -136,7 +138,8 @@
             self.observe(buffer.filled().get(before..).unwrap_or_default());
         }
         if self.poll_timeout(context).is_ready() {
-            // No request was taken from it yet, so that nothing is lost: an end, as if the client had ended it.
+            // Reported as end of stream, as if the client had closed. No request has been accepted
+            // from these bytes, so nothing is lost.
             buffer.set_filled(before);
             return Poll::Ready(Ok(()));
         }
--- a/crates/edge-proxy/src/framing.rs
+++ b/crates/edge-proxy/src/framing.rs
@@ -1,28 +1,33 @@
-//! Where the heads of requests on a client's connection begin and end (RFC 9112), and what the library that reads heads does not tell
-//! of each. Only bytes of a head are looked at for what a head says: a body may hold any words.
+//! Finds where the request heads on a client connection begin and end (RFC 9112), and records what
+//! the HTTP library does not report about each. Only the bytes of a head are examined for its
+//! properties: a body may contain any text.
 
 use std::collections::VecDeque;
 
-/// Bytes of a line that are looked at: enough for the name and value of a field of framing, or a chunk's size.
+/// Bytes of a line that are examined: enough for the name and value of a framing header field, or
+/// for a chunk size.
 const MAX_LINE_PREFIX: usize = 96;
-/// Most digits of a chunk's size.
+/// Maximum number of digits of a chunk size.
 const MAX_CHUNK_SIZE_DIGITS: usize = 15;
 
-/// What one head held.
+/// What was found in one head.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HeadFindings {
-    /// A `Content-Length` beside a `Transfer-Encoding`: nobody can say where the request ends.
+    /// Both `Content-Length` and `Transfer-Encoding` are present, so the end of the request is
+    /// ambiguous.
     pub conflicting_framing: bool,
-    /// A line ended without a carriage return: others may see another head in it.
+    /// A line ended without a carriage return; other implementations may parse such a head
+    /// differently.
     pub bare_line_feed: bool,
 }
 
-/// Follows a connection's bytes as they come, in pieces of any size.
+/// Tracks the framing of a connection from its bytes, which may arrive in pieces of any size.
 #[derive(Debug, Default)]
 pub struct Framing {
     state: State,
     line: Line,
-    /// Heads that have ended and whose requests were not taken yet: as many as the reader's buffer holds at most.
+    /// Findings of complete heads whose requests have not been taken yet. There are at most as many
+    /// as the read buffer of the HTTP library holds.
     findings: VecDeque<HeadFindings>,
 }
 
@@ -30,11 +35,12 @@
 #[derive(Debug)]
 enum State {
     Head(Head),
-    /// So many bytes more of a body or a chunk, then what follows.
+    /// This many more bytes of a body or chunk, then the given state.
     Bytes(u64, AfterBytes),
     ChunkSize,
     Trailers,
-    /// It can't be told: the reader refuses such a request, or this connection's next one is refused.
+    /// The framing cannot be determined: the HTTP library refuses this request, or the next request
+    /// on the connection is refused.
     Unknown,
 }
 
@@ -50,17 +56,17 @@
     ChunkSize,
 }
 
-/// A head as far as it has come.
+/// The part of a head that has been received so far.
 #[derive(Clone, Copy, Debug, Default)]
 struct Head {
-    /// A line had something in it: empty ones before the first are passed over.
+    /// A non-empty line was received; empty lines before it are skipped.
     started: bool,
     bare_line_feed: bool,
     chunked: bool,
     content_length: Option<Option<u64>>,
 }
 
-/// The line that is coming.
+/// The line that is being received.
 #[derive(Debug, Default)]
 struct Line {
     prefix: Vec<u8>,
@@ -69,7 +75,8 @@
 }
 
 impl Line {
-    /// Takes bytes up to the line's end. Gives how many were taken, and whether the line has ended.
+    /// Takes bytes up to the end of the line. Returns how many were taken, and whether the line has
+    /// ended.
     fn take(&mut self, bytes: &[u8]) -> (usize, bool) {
         let end = memchr::memchr(b'\n', bytes);
         let taken = bytes.get(..end.unwrap_or(bytes.len())).unwrap_or_default();
@@ -88,14 +95,14 @@
         self.bytes == usize::from(!self.lacks_carriage_return())
     }
 
-    /// The name of a field, and its value without the space around it.
+    /// The name of a header field, and its value without surrounding whitespace.
     fn field(&self) -> Option<(&[u8], &[u8])> {
         let colon = memchr::memchr(b':', &self.prefix)?;
         let (name, value) = self.prefix.split_at_checked(colon)?;
         Some((name, value.get(1..)?.trim_ascii()))
     }
 
-    /// The size of a chunk, where it can be read.
+    /// The size of a chunk, if it can be parsed.
     fn chunk_size(&self) -> Option<u64> {
         let digits = self.prefix.iter().take_while(|byte| byte.is_ascii_hexdigit()).count();
         let text = std::str::from_utf8(self.prefix.get(..digits)?).ok()?;
@@ -109,7 +116,7 @@
 }
 
 impl Head {
-    /// A line of it has ended. Gives whether the head has.
+    /// Processes a complete line of the head. Returns whether the head has ended.
     fn add_line(&mut self, line: &Line) -> bool {
         self.bare_line_feed |= line.lacks_carriage_return();
         if line.is_empty() {
@@ -134,7 +141,7 @@
         }
     }
 
-    /// What comes behind it.
+    /// The state that follows the head.
     fn body(&self) -> State {
         match (self.chunked, self.content_length) {
             (true, _) => State::ChunkSize,
@@ -146,7 +153,7 @@
 }
 
 impl Framing {
-    /// Takes what has come.
+    /// Processes received bytes.
     pub fn observe(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let taken = match &mut self.state {
@@ -183,7 +190,7 @@
             }),
             State::ChunkSize => Some(match self.line.chunk_size() {
                 Some(0) => State::Trailers,
-                // The line's end behind the chunk is none of its size.
+                // The line end after the chunk is not included in its size.
                 Some(size) => State::Bytes(size + 2, AfterBytes::ChunkSize),
                 None => State::Unknown,
             }),
@@ -193,7 +200,8 @@
         self.state = next.unwrap_or_else(|| std::mem::take(&mut self.state));
     }
 
-    /// What was noticed of the head of the request that is taken now; nothing where it could not be followed.
+    /// The findings for the head of the next request; `None` if its framing could not be
+    /// determined.
     pub fn next_findings(&mut self) -> Option<HeadFindings> {
         self.findings.pop_front()
     }
--- a/crates/edge-proxy/src/metrics.rs
+++ b/crates/edge-proxy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What an edge counts (`docs/metrics.md`).
+//! The metrics that an edge counts (`docs/metrics.md`).
 
 use milletwing_config::configuration::Class;
 use milletwing_config::Kind;
@@ -8,11 +8,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The shortest duration that is told apart, in seconds, and how many buckets double it: up to 16 s.
+/// Upper bound of the first histogram bucket in seconds, and the number of buckets. Each bound is
+/// twice the one before, up to 16 s.
 const FIRST_BUCKET_S: f64 = 0.002;
 const BUCKET_COUNT: u16 = 14;
 
-/// Counters of an edge since its process began.
+/// Counters of an edge since its process started.
 pub struct Metrics {
     pub requests: RefCell<BTreeMap<(&'static str, &'static str), u64>>,
     pub tries: RefCell<BTreeMap<&'static str, u64>>,
@@ -30,7 +31,7 @@
 }
 
 impl Metrics {
-    /// A request has a marshal's answer, of this status class, after so long.
+    /// Counts a request that received a marshal's response with this status after `duration`.
     pub fn answered(&self, class: Class, status: u16, duration: Duration) {
         let outcome = match status {
             ..=299 => "answered_2xx",
@@ -42,12 +43,12 @@
         self.durations.observe(duration.as_secs_f64());
     }
 
-    /// A request ended with this edge's own answer.
+    /// Counts a request that this edge answered itself.
     pub fn refused(&self, class: Option<Class>, kind: &Kind) {
         *self.requests.borrow_mut().entry((class_label(class), reason_label(kind))).or_default() += 1;
     }
 
-    /// One sending of a request ended.
+    /// Counts a finished attempt.
     pub fn attempt_ended(&self, result: SendResult) {
         *self.tries.borrow_mut().entry(result_label(result)).or_default() += 1;
     }
@@ -62,7 +63,8 @@
     }
 }
 
-/// A bounded set of words: kinds that no client of an edge meets are one.
+/// Label of a refusal. The set of labels is bounded: kinds that clients of an edge do not encounter
+/// share one.
 fn reason_label(kind: &Kind) -> &'static str {
     match kind {
         Kind::NoRoute => "no_route",
--- a/crates/edge-proxy/src/metrics_page.rs
+++ b/crates/edge-proxy/src/metrics_page.rs
@@ -1,11 +1,11 @@
-//! The page of an edge's metrics (`docs/metrics.md`).
+//! The metrics page of an edge (`docs/metrics.md`).
 
 use crate::edge::Edge;
 use milletwing_metrics::{Labels, Page};
 use milletwing_replicated_state::Phase;
 use std::collections::BTreeMap;
 
-/// The page of this moment.
+/// Renders the current metrics.
 pub fn page(edge: &Edge) -> String {
     let mut page = Page::new("milletwing_edge");
     let metrics = &edge.metrics;
--- a/crates/edge-proxy/src/server.rs
+++ b/crates/edge-proxy/src/server.rs
@@ -1,4 +1,4 @@
-//! Clients' connections, and the platform's question whether this edge is ready.
+//! Accepts client connections, and answers the platform's readiness checks.
 
 use crate::body::BodyError;
 use crate::client_stream::{ClientStream, ConnectionState, Exchange};
@@ -21,19 +21,24 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::TcpListener;
 
-/// Clients' connections for each descriptor that the machine grants: the others are for marshals.
+/// Share of the process's file descriptors that client connections may use; the others are for
+/// connections to marshals.
 const CLIENT_FILE_SHARE: f64 = 0.5;
-/// Bytes of a buffer beyond the largest head that the configuration allows; what is larger ends with 431 unread.
+/// Read buffer in bytes beyond the largest head that the configuration allows. A head that exceeds
+/// the whole buffer is refused with 431 before it has been read completely.
 const BUFFER_MARGIN: usize = 8 << 10;
-/// The largest head without a configuration, and the largest at all.
+/// The default of the largest request head, in bytes, which is also its lower bound, and its upper
+/// bound.
 const HEAD_SIZE_RANGE: (usize, usize) = (16 << 10, 256 << 10);
-/// A client that takes nothing of a short answer is given up after this; one of a longer answer has the time of its request.
+/// A client that acknowledges nothing of a short response for this long is disconnected. For a
+/// longer response, the time limit is that of its request.
 const SILENT_CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Clients are told to use an idle connection again within two seconds, since it costs memory until it closes. A second
-/// later it does, so that a request already on its way is still taken.
+/// Clients are told to reuse an idle connection within two seconds only, since it uses memory until
+/// it closes. It closes a second later, so that a request already on its way is still accepted.
 const KEEP_ALIVE: (&str, Duration) = ("timeout=2", Duration::from_secs(3));
 
-/// An answer's body; once it is gone, and the request's too, the connection waits for the next head.
+/// A response body. The connection waits for the next request head once this body and that of the
+/// request have been dropped.
 struct ExchangeBody {
     body: ResponseBody,
     _exchange: Rc<Exchange>,
@@ -72,7 +77,7 @@
     }
 }
 
-/// Serves clients.
+/// Accepts client connections.
 pub async fn serve(edge: Rc<Edge>, listener: TcpListener) {
     let max_connections =
         (edge.settings.borrow().own.thresholds.max_files as f64 * CLIENT_FILE_SHARE) as usize;
@@ -92,8 +97,8 @@
     }
 }
 
-/// Serves one client's connection until either side ends it. It counts from the call on. `unread`: what the client may not
-/// have read of its answers.
+/// Serves one client connection until either side ends it. It is counted as open from the call on,
+/// not from the first poll. `unread` tracks what the client may not have read of its responses.
 pub fn connection(
     edge: Rc<Edge>,
     stream: impl AsyncRead + AsyncWrite + Unpin + 'static,
@@ -128,10 +133,12 @@
     let service = service_fn(move |request| {
         let (edge, state) = (Rc::clone(&service_edge), Rc::clone(&state));
         let exchange = Exchange::begin(&state);
-        // On the heap: a connection that waits holds a pointer, not room for a whole request's states.
+        // Boxed, so that an idle connection holds a pointer instead of space for the whole state of
+        // a request.
         Box::pin(async move {
             let mut answer = relay::answer(edge, request, &exchange).await;
-            // Not where the operator's `idleGuardS` is shorter still, or the connection ends with this answer.
+            // Omitted if the configured `idleGuardS` is shorter still, or if the connection ends
+            // with this response.
             if idle_timeout >= KEEP_ALIVE.1 && !answer.headers().contains_key(header::CONNECTION) {
                 answer
                     .headers_mut()
@@ -142,7 +149,7 @@
     });
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(idle_timeout + head_timeout + Duration::from_secs(1)) // in case `ClientStream` is not asked
+        .header_read_timeout(idle_timeout + head_timeout + Duration::from_secs(1)) // in case `ClientStream` is not polled
         .max_buf_size(max_head + BUFFER_MARGIN)
         .serve_connection(TokioIo::new(client_stream), service);
     let mut connection = std::pin::pin!(connection);
@@ -150,13 +157,13 @@
         _ = connection.as_mut() => {}
         _ = edge.close_connections.notified() => {
             connection.as_mut().graceful_shutdown();
-            let _ = connection.await; // the client's concern: it has had its answer
+            let _ = connection.await; // an error here concerns only the client: it has had its response
         }
     }
     drop(connection_count);
 }
 
-/// Answers the platform's question.
+/// Answers the platform's readiness checks.
 pub async fn serve_readiness(edge: Rc<Edge>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
--- a/crates/edge-proxy/src/user_timeout.rs
+++ b/crates/edge-proxy/src/user_timeout.rs
@@ -1,9 +1,11 @@
-//! A TCP connection that ends when its peer's host is silent, and not when its peer is alive and reads late.
+//! A TCP connection that is ended when its peer's host is silent, but not when the peer is alive
+//! and reads late.
 //!
-//! `TCP_USER_TIMEOUT` (RFC 5482) ends a connection whose bytes stay unacknowledged. Linux counts the time in which the
-//! peer's receive window is closed as well, though the peer answers every probe of it. So the short bound that finds a
-//! silent host holds only while what the peer may have left unread surely fits its window. Beyond that the bound is the
-//! time of the message that is under way.
+//! `TCP_USER_TIMEOUT` (RFC 5482) ends a connection whose bytes stay unacknowledged. On Linux this
+//! includes the time during which the receive window of the peer is closed, although the peer
+//! answers every window probe. The short timeout that detects a silent host is therefore used only
+//! while everything that the peer may have left unread is certain to fit into its window. Beyond
+//! that, the timeout is the time allowed for the message being sent.
 
 use milletwing_wire::groom;
 use std::cell::Cell;
@@ -14,27 +16,30 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Bytes that a peer's host takes whether its process reads or not.
+/// Bytes that a host always accepts, whether its process reads them or not.
 const MIN_RECEIVE_WINDOW: usize = 16 << 10;
 
-/// Bytes read at once, whatever room the reader has: the pieces in which answers are passed on.
+/// Maximum number of bytes per read, whatever the size of the reader's buffer: responses are
+/// forwarded in pieces of this size.
 const MAX_READ: usize = 6 << 10;
 
-/// What the peer of a connection may not have read yet, and how long it may take to read it.
+/// Tracks how much the peer of a connection may not have read yet, and how long it may take to read
+/// it.
 #[derive(Debug)]
 pub struct UnreadTracker {
-    /// A host whose window is open and that acknowledges nothing is taken for silent after this.
+    /// A host whose window is open and that acknowledges nothing for this long is taken to be
+    /// silent.
     silence_timeout: Duration,
-    /// The peer has so long for the message under way.
+    /// Time allowed to the peer for reading the current message.
     message_time: Cell<Duration>,
     /// Bytes of earlier messages that the peer may not have read.
     earlier_bytes: Cell<usize>,
-    /// Bytes written of the message under way.
+    /// Bytes of the current message written so far.
     message_bytes: Cell<usize>,
 }
 
 impl UnreadTracker {
-    /// Of a connection on which nothing was written.
+    /// Creates a tracker for a connection on which nothing has been written.
     pub fn new(silence_timeout: Duration) -> Rc<UnreadTracker> {
         Rc::new(UnreadTracker {
             silence_timeout,
@@ -44,18 +49,19 @@
         })
     }
 
-    /// A message begins, which the peer may take so long to read.
+    /// Starts a message, for which the peer has `message_time`.
     pub fn start_message(&self, message_time: Duration) {
         self.message_time.set(message_time);
         self.earlier_bytes.set(self.earlier_bytes.get().saturating_add(self.message_bytes.take()));
     }
 
-    /// The peer has answered the message under way: it has read all messages before it.
+    /// Records that the peer has responded to the current message, and so has read all messages
+    /// before it.
     pub fn on_response(&self) {
         self.earlier_bytes.set(0);
     }
 
-    /// Whether the peer may have left more unread than its host surely takes.
+    /// Whether the peer may have left more unread than its host is certain to accept.
     pub fn may_exceed_window(&self) -> bool {
         self.earlier_bytes.get().saturating_add(self.message_bytes.get()) > MIN_RECEIVE_WINDOW
     }
@@ -73,23 +79,24 @@
     }
 }
 
-/// A connection over TCP that is bounded by what its peer may not have read.
+/// A TCP stream whose user timeout depends on what its peer may not have read.
 pub struct AdaptiveTimeoutStream {
     stream: TcpStream,
     unread: Rc<UnreadTracker>,
-    /// The bound that the socket has.
+    /// The user timeout that is set on the socket.
     timeout: Duration,
 }
 
 impl AdaptiveTimeoutStream {
-    /// Sets what every connection of the system has. Errors: the socket refuses an option.
+    /// Sets the socket options that all connections of the system have. Returns an error if the
+    /// socket rejects one.
     pub fn new(stream: TcpStream, unread: Rc<UnreadTracker>) -> std::io::Result<AdaptiveTimeoutStream> {
         let timeout = unread.timeout();
         groom(&stream, timeout)?;
         Ok(AdaptiveTimeoutStream { stream, unread, timeout })
     }
 
-    /// Gives the socket the bound of this moment.
+    /// Sets the user timeout of the socket to the value that applies now.
     fn update_timeout(&mut self) {
         let timeout = self.unread.timeout();
         if timeout != self.timeout && milletwing_wire::bound_unacknowledged(&self.stream, timeout).is_ok() {
