--- a/crates/edge-proxy/src/client_stream/tests.rs
+++ b/crates/edge-proxy/src/client_stream/tests.rs
@@ -1,4 +1,4 @@
-//! Bytes as they come on a client's connection, in a clock of the test's own.
+//! Time limits of a client connection, with a paused clock.
 
 use super::*;
 use tokio::io::{duplex, AsyncReadExt, AsyncWriteExt};
@@ -6,7 +6,8 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 const HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Seconds, to a tenth, until the connection ends, where a byte comes at each of these; the clock is the test's own.
+/// Seconds, rounded to a tenth, until the connection ends if a byte is written at each of the given
+/// times.
 async fn seconds_until_end(phase: ConnectionPhase, write_times: impl Iterator<Item = f64>) -> f64 {
     let started = tokio::time::Instant::now();
     let (mut client, server) = duplex(64);
@@ -32,12 +33,13 @@
 #[tokio::test(start_paused = true)]
 async fn idle_connections_and_slow_heads_time_out() {
     assert_eq!(seconds_until_end(ConnectionPhase::Idle, std::iter::empty()).await, 3.0);
-    // A head that drips ends a guard's time after its first byte, however long it may be idle.
+    // A head that arrives slowly is ended one head timeout after its first byte, even though the
+    // idle timeout is longer.
     assert_eq!(
         seconds_until_end(ConnectionPhase::Idle, (5..500).map(|tenth| f64::from(tenth) * 0.1)).await,
         1.5
     );
-    // A request's body may take longer: its deadline bounds it.
+    // The body of a request may take longer: it is limited by the deadline of the request.
     assert_eq!(
         seconds_until_end(ConnectionPhase::Request, (5..500).map(|tenth| f64::from(tenth) * 0.1)).await,
         60.0
--- a/crates/edge-proxy/src/framing/tests.rs
+++ b/crates/edge-proxy/src/framing/tests.rs
@@ -1,4 +1,4 @@
-//! Heads, bodies and requests one behind the other, cut at any byte.
+//! Heads, bodies and pipelined requests, split at any byte.
 
 use super::*;
 use rand::seq::IndexedRandom;
@@ -9,7 +9,7 @@
 const CONFLICTING: HeadFindings = HeadFindings { conflicting_framing: true, ..CLEAN };
 const BARE_LINE_FEED: HeadFindings = HeadFindings { bare_line_feed: true, ..CLEAN };
 
-/// What is noticed of bytes that come in these pieces.
+/// The findings for bytes that arrive in the given pieces.
 fn findings_of<'a>(pieces: impl Iterator<Item = &'a [u8]>) -> Vec<HeadFindings> {
     let mut framing = Framing::default();
     pieces.for_each(|piece| framing.observe(piece));
@@ -33,7 +33,8 @@
     assert_findings_for_any_chunk_size(b"GET /a HTTP/1.1\nHost: h\n\n", &[BARE_LINE_FEED]);
 }
 
-/// Guards against DENIED: a proper request was refused for words of its body, of a longer field name, or of the request before it.
+/// Guards against refusing a valid request because of text in its body, in a longer field name, or
+/// in the request before it.
 #[test]
 fn only_header_fields_of_the_head_affect_its_framing() {
     let head = "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n";
@@ -53,7 +54,8 @@
     assert_findings_for_any_chunk_size(text.as_bytes(), &[CLEAN, CONFLICTING, CLEAN, CONFLICTING, CLEAN]);
 }
 
-/// Behind what can't be followed nothing is said of any head, so that its request is refused.
+/// After framing that cannot be determined, there are no findings for any head, so that its request
+/// is refused.
 #[test]
 fn unparseable_framing_yields_no_further_findings() {
     for body in [
@@ -66,7 +68,7 @@
     }
 }
 
-/// Pieces of which bodies are made: whatever a head may hold, and what looks like an end.
+/// Parts of random bodies: text that might be part of a head, and text that looks like an end.
 const BODY_PARTS: [&str; 12] = [
     "Content-Length: 5",
     "transfer-encoding: chunked",
@@ -86,7 +88,7 @@
     (0..rng.random_range(0..8)).filter_map(|_| BODY_PARTS.choose(rng)).copied().collect()
 }
 
-/// A request of any framing and body, and what is to be noticed of it.
+/// A request with random framing and body, and the expected findings.
 fn random_request(rng: &mut Pcg64Mcg) -> (String, HeadFindings) {
     let (body, conflicting) = (random_body(rng), rng.random_bool(0.2));
     let mut head = String::from("POST /a HTTP/1.1\r\nHost: h\r\n");
@@ -113,8 +115,9 @@
     (format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()), CLEAN)
 }
 
-/// Drawn requests one behind the other, cut anywhere, get the verdict of their own heads whatever their bodies hold. More by hand:
-/// `FRAMING_INPUTS=10000000 cargo test --release -p milletwing-edge-proxy framing`.
+/// Pipelined random requests, split anywhere, get the findings of their own heads, whatever their
+/// bodies contain. To run with more inputs: `FRAMING_INPUTS=10000000 cargo test --release -p
+/// milletwing-edge-proxy framing`.
 #[test]
 fn findings_are_independent_of_bodies_and_chunking() {
     let inputs = std::env::var("FRAMING_INPUTS").map_or(20_000, |text| text.parse().unwrap());
--- a/crates/edge-proxy/src/tests.rs
+++ b/crates/edge-proxy/src/tests.rs
@@ -1,5 +1,5 @@
-//! Marshals that misbehave at each byte, on streams in memory and a clock of the test's own: whose answer a client gets, and what
-//! is sent a second time.
+//! Marshals that fail or misbehave at each byte of a message, over in-memory streams and a paused
+//! clock: which response a client gets, and which requests are sent a second time.
 
 mod core_silence;
 mod guarantees;
@@ -21,7 +21,8 @@
 use std::time::Duration;
 use tokio::io::{duplex, AsyncReadExt, AsyncWriteExt, DuplexStream};
 
-/// A client that takes nothing is given up after this; streams in memory know no such end.
+/// Time after which a client that acknowledges nothing is disconnected; has no effect on in-memory
+/// streams.
 const SILENT_CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
 const IDEMPOTENT: &str = "/look/x";
 const NON_IDEMPOTENT: &str = "/order/x";
@@ -34,7 +35,7 @@
     "targets":{"s":{"maxSessions":110,"warmupS":3,"warmupPerS":26}},
     "thresholds":{"maxHeaderBytes":16384,"maxBodyBytes":67108864,"headerGuardS":3,"idleGuardS":15}}"#;
 
-/// What marshals have read, by the id of the request: on how many connections any byte of it arrived.
+/// On how many connections marshals have received the request with a given id, in whole or in part.
 #[derive(Clone, Default)]
 struct Arrivals(Rc<RefCell<BTreeMap<String, u32>>>);
 
@@ -48,36 +49,37 @@
     }
 }
 
-/// How often the request with the id `i` has arrived.
+/// On how many connections the request with the id `i` has arrived.
 fn arrivals_of_i(arrivals: &Arrivals) -> u32 {
     arrivals.of("i")
 }
 
-/// A stand-in of a marshal: one connection of it. `call` counts the connections from 0.
+/// Serves one connection of a simulated marshal. The first argument is the index of the connection,
+/// from 0.
 type MarshalStub = dyn Fn(u32, DuplexStream, Arrivals) -> std::pin::Pin<Box<dyn Future<Output = ()>>>;
 
 fn edge(count: usize, arrivals: &Arrivals, stub: Rc<MarshalStub>) -> Rc<Edge> {
     edge_with_transport(count, arrivals, stub, |stream| Box::new(stream))
 }
 
-/// The same, with connections to marshals that are `wrap`ped.
+/// Like [`edge`], with connections to marshals that are wrapped by `wrap`.
 fn edge_with_transport(
     count: usize,
     arrivals: &Arrivals,
     stub: Rc<MarshalStub>,
     wrap: fn(DuplexStream) -> Box<dyn Transport>,
 ) -> Rc<Edge> {
-    let (calls, arrivals) = (Rc::new(RefCell::new(0)), arrivals.clone());
+    let (connections, arrivals) = (Rc::new(RefCell::new(0)), arrivals.clone());
     let connector: Connector = Box::new(move |_, _| {
         let (edge_end, marshal_end) = duplex(1 << 20);
-        let call = calls.replace_with(|call| *call + 1);
-        tokio::task::spawn_local(stub(call, marshal_end, arrivals.clone()));
+        let connection = connections.replace_with(|connection| *connection + 1);
+        tokio::task::spawn_local(stub(connection, marshal_end, arrivals.clone()));
         Box::pin(async move { Ok(wrap(edge_end)) })
     });
     configured_edge(SETTINGS, CONFIGURATION, (0..count).map(|index| node(index, "a")), connector)
 }
 
-/// A warm marshal of the one service.
+/// A warm marshal of the only service.
 fn node(index: usize, zone: &str) -> Node {
     Node {
         id: format!("i-{index}"),
@@ -90,15 +92,16 @@
     }
 }
 
-/// An edge is told to end, as by SIGTERM: in so many milliseconds it takes only what is quick, and ends.
-fn begin_shutdown(edge: &Edge, selective_in_ms: u64, exits_in: u64) {
+/// Starts the shutdown of an edge, as SIGTERM does: after `selective_in_ms` it accepts only what
+/// will finish in time, and after `exits_in_ms` milliseconds it exits.
+fn begin_shutdown(edge: &Edge, selective_in_ms: u64, exits_in_ms: u64) {
     edge.begin_shutdown(ShutdownSchedule {
         selective_from: edge.now() + selective_in_ms,
-        exits_at: edge.now() + exits_in,
+        exits_at: edge.now() + exits_in_ms,
     });
 }
 
-/// An edge that was told a configuration and marshals, and that reaches them by `connector`.
+/// An edge with a configuration and marshals, which it reaches by `connector`.
 fn configured_edge(
     settings: &str,
     configuration: &str,
@@ -117,7 +120,8 @@
     edge
 }
 
-/// A client's answer: the status, whose it is by its stamp, and the body; nothing where none came whole.
+/// A response as a client sees it: its status, its seal, which tells whose response it is, and its
+/// body.
 #[derive(Clone, Debug, PartialEq)]
 struct ClientResponse {
     status: u16,
@@ -139,7 +143,7 @@
     client.write_all(text.as_bytes()).await.unwrap();
     let mut bytes = Vec::new();
     let read = tokio::time::timeout(Duration::from_secs(20), client.read_to_end(&mut bytes)).await;
-    read.expect("no answer in twenty seconds").ok()?;
+    read.expect("no response within twenty seconds").ok()?;
     let text = String::from_utf8(bytes).unwrap();
     let (head, body) = text.split_once("\r\n\r\n")?;
     let field = |name: &str| {
@@ -153,7 +157,7 @@
     (length == body.len()).then(|| ClientResponse { status, seal, body: body.into() })
 }
 
-/// Reads one request: its id, or nothing where the connection ends before its head.
+/// Reads one request and returns its id; `None` if the connection ends first.
 async fn read_request(stream: &mut DuplexStream) -> Option<String> {
     let mut bytes = Vec::new();
     while !bytes.ends_with(b"\r\n\r\nbody") {
@@ -171,8 +175,8 @@
 }
 
 fn is_own_response(response: &Option<ClientResponse>, id: &str) -> bool {
-    let wanted = ClientResponse { status: 200, seal: id.into(), body: "hello".into() };
-    response.as_ref() == Some(&wanted)
+    let expected = ClientResponse { status: 200, seal: id.into(), body: "hello".into() };
+    response.as_ref() == Some(&expected)
 }
 
 fn run(test: impl Future<Output = ()>) {
@@ -181,18 +185,18 @@
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// Serves requests one after the other; `respond` gives what is written for the connection's n-th request, and whether the
-/// connection goes on.
+/// Serves requests one after another. `respond` returns the bytes to write for the n-th request of
+/// the connection, and whether the connection stays open.
 async fn serve_requests(
     mut stream: DuplexStream,
     arrivals: Arrivals,
     respond: impl Fn(u32, &str) -> (Vec<u8>, bool),
 ) {
-    for turn in 0.. {
+    for index in 0.. {
         let Some(id) = read_request(&mut stream).await else { return };
         arrivals.record(id.clone());
-        let (bytes, on) = respond(turn, &id);
-        if stream.write_all(&bytes).await.is_err() || !on {
+        let (bytes, keep_open) = respond(index, &id);
+        if stream.write_all(&bytes).await.is_err() || !keep_open {
             return;
         }
     }
@@ -200,19 +204,19 @@
 
 #[test]
 fn truncated_response_is_retried_only_for_idempotent_requests() {
-    let whole = ok_response("i").len();
-    for cut in 0..=whole {
-        for (path, repeatable) in [(IDEMPOTENT, true), (NON_IDEMPOTENT, false)] {
+    let full_length = ok_response("i").len();
+    for cut in 0..=full_length {
+        for (path, idempotent) in [(IDEMPOTENT, true), (NON_IDEMPOTENT, false)] {
             run(async move {
                 let arrivals = Arrivals::default();
-                // The first connection cuts its answer; later ones answer whole.
+                // The first connection truncates its response; later ones respond in full.
                 let edge = edge(
                     4,
                     &arrivals,
-                    Rc::new(move |call, stream, arrivals| {
+                    Rc::new(move |connection, stream, arrivals| {
                         Box::pin(serve_requests(stream, arrivals, move |_, id| {
                             let bytes = ok_response(id).into_bytes();
-                            if call == 0 {
+                            if connection == 0 {
                                 (bytes[..cut].to_vec(), false)
                             } else {
                                 (bytes, true)
@@ -221,17 +225,17 @@
                     }),
                 );
                 let response = send_request(&edge, path, "i").await;
-                let tries = arrivals.of("i");
-                if cut == whole || repeatable {
+                let arrival_count = arrivals.of("i");
+                if cut == full_length || idempotent {
                     assert!(is_own_response(&response, "i"), "{path} cut at {cut}: {response:?}");
-                    assert_eq!(tries, 1 + u32::from(cut < whole));
+                    assert_eq!(arrival_count, 1 + u32::from(cut < full_length));
                 } else {
                     assert_eq!(
                         response.map(|it| it.status),
                         Some(502),
-                        "{path} cut at {cut}: no promise can be made"
+                        "{path} cut at {cut}: it may have been executed"
                     );
-                    assert_eq!(tries, 1, "{path} cut at {cut} was sent again");
+                    assert_eq!(arrival_count, 1, "{path} cut at {cut} was sent again");
                 }
             });
         }
@@ -252,19 +256,19 @@
                     Rc::new(move |_, mut stream, arrivals| {
                         let surplus = surplus.clone();
                         Box::pin(async move {
-                            for turn in 0.. {
+                            for index in 0.. {
                                 let Some(id) = read_request(&mut stream).await else { return };
                                 arrivals.record(id.clone());
                                 let mut bytes = ok_response(&id).into_bytes();
-                                if turn == 0 && !late {
+                                if index == 0 && !late {
                                     bytes.extend(&surplus);
                                 }
                                 if stream.write_all(&bytes).await.is_err() {
                                     return;
                                 }
-                                if turn == 0 && late {
+                                if index == 0 && late {
                                     tokio::time::sleep(Duration::from_millis(30)).await;
-                                    let _ = stream.write_all(&surplus).await; // the edge may have closed
+                                    let _ = stream.write_all(&surplus).await; // the edge may have closed the connection
                                 }
                             }
                         })
@@ -298,10 +302,10 @@
                 &arrivals,
                 Rc::new(move |_, mut stream, arrivals| {
                     Box::pin(async move {
-                        for turn in 0.. {
+                        for index in 0.. {
                             let Some(id) = read_request(&mut stream).await else { return };
                             arrivals.record(id.clone());
-                            if turn == 0 {
+                            if index == 0 {
                                 tokio::time::sleep(Duration::from_millis(delay)).await;
                             }
                             if stream.write_all(ok_response(&id).as_bytes()).await.is_err() {
@@ -311,12 +315,12 @@
                     })
                 }),
             );
-            let left = tokio::time::timeout(
+            let abandoned = tokio::time::timeout(
                 Duration::from_millis(delay / 2),
                 send_request(&edge, NON_IDEMPOTENT, "a"),
             )
             .await;
-            assert!(left.is_err(), "the client leaves before its answer comes");
+            assert!(abandoned.is_err(), "the client disconnects before the response arrives");
             for id in ["b", "c"] {
                 let response = send_request(&edge, NON_IDEMPOTENT, id).await;
                 assert!(is_own_response(&response, id), "after {delay} ms {id} got {response:?}");
@@ -328,27 +332,28 @@
 
 #[test]
 fn non_idempotent_request_is_sent_once_if_the_connection_closes_at_any_byte() {
-    // The head and body of the request as the edge sends it are under 400 bytes.
+    // A request as forwarded by the edge has fewer than 400 bytes, head and body together.
     for read in 0..400 {
         run(async move {
             let arrivals = Arrivals::default();
             let edge = edge(
                 3,
                 &arrivals,
-                Rc::new(move |call, mut stream, arrivals| {
+                Rc::new(move |connection, mut stream, arrivals| {
                     Box::pin(async move {
-                        // Connections that have served once take so many bytes of the next request, and close.
+                        // Connections that have served one request read this many bytes of the next
+                        // one, and close.
                         let Some(id) = read_request(&mut stream).await else { return };
                         arrivals.record(id.clone());
-                        let _ = stream.write_all(ok_response(&id).as_bytes()).await; // its end is noticed below
-                        if call > 2 {
+                        let _ = stream.write_all(ok_response(&id).as_bytes()).await; // a failed write shows in the assertions below
+                        if connection > 2 {
                             return serve_requests(stream, arrivals, |_, id| {
                                 (ok_response(id).into_bytes(), true)
                             })
                             .await;
                         }
-                        let mut some = vec![0; read];
-                        if read > 0 && stream.read_exact(&mut some).await.is_ok() {
+                        let mut partial_request = vec![0; read];
+                        if read > 0 && stream.read_exact(&mut partial_request).await.is_ok() {
                             arrivals.record("second".into());
                         }
                     })
@@ -356,7 +361,10 @@
             );
             assert!(is_own_response(&send_request(&edge, NON_IDEMPOTENT, "first").await, "first"));
             let response = send_request(&edge, NON_IDEMPOTENT, "second").await;
-            assert!(arrivals.of("second") <= 1, "{read} bytes were read, and it went on: {response:?}");
+            assert!(
+                arrivals.of("second") <= 1,
+                "{read} bytes were read, and the request was sent again: {response:?}"
+            );
             let exits_at = is_own_response(&response, "second")
                 || response.as_ref().is_some_and(|it| matches!(it.status, 502 | 504));
             assert!(exits_at, "{read} bytes were read: {response:?}");
@@ -366,18 +374,18 @@
 
 #[test]
 fn mismatched_or_corrupted_responses_are_rejected() {
-    let stamped = |lines: &str| format!("HTTP/1.1 200 OK\r\n{lines}\r\nhello");
+    let response_with = |lines: &str| format!("HTTP/1.1 200 OK\r\n{lines}\r\nhello");
     let seal = "X-Milletwing-Server-Seal: a\r\n";
-    let spoilt = [
-        stamped(&format!("X-Milletwing-Attempt-Id: other\r\n{seal}Content-Length: 5\r\n")),
-        stamped(&format!("{seal}Content-Length: 5\r\n")),
-        stamped("X-Milletwing-Attempt-Id: a\r\nContent-Length: 5\r\n"),
-        stamped(&format!(
+    let responses = [
+        response_with(&format!("X-Milletwing-Attempt-Id: other\r\n{seal}Content-Length: 5\r\n")),
+        response_with(&format!("{seal}Content-Length: 5\r\n")),
+        response_with("X-Milletwing-Attempt-Id: a\r\nContent-Length: 5\r\n"),
+        response_with(&format!(
             "X-Milletwing-Attempt-Id: a\r\n{seal}Content-Encoding: gzip\r\nContent-Length: 5\r\n"
         )),
         "bytes that are no answer\r\n\r\n".into(),
     ];
-    for text in spoilt {
+    for text in responses {
         run(async move {
             let arrivals = Arrivals::default();
             let bytes = text.clone().into_bytes();
@@ -400,16 +408,17 @@
 fn shutdown_accepts_only_requests_that_finish_in_time() {
     run(async {
         let arrivals = Arrivals::default();
-        let whole = |_, stream, arrivals| -> std::pin::Pin<Box<dyn Future<Output = ()>>> {
+        let respond_in_full = |_, stream, arrivals| -> std::pin::Pin<Box<dyn Future<Output = ()>>> {
             Box::pin(serve_requests(stream, arrivals, |_, id| (ok_response(id).into_bytes(), true)))
         };
-        let edge = edge(3, &arrivals, Rc::new(whole));
+        let edge = edge(3, &arrivals, Rc::new(respond_in_full));
         begin_shutdown(&edge, 60_000, 120_000);
         assert!(
             is_own_response(&send_request(&edge, NON_IDEMPOTENT, "early").await, "early"),
-            "in the first half of its time it serves"
+            "every request is accepted in the first phase"
         );
-        // Twice the aim of a second is left, and a little more: enough. A little less: not.
+        // The target time is one second. Slightly more than twice of it is enough; slightly less is
+        // not.
         begin_shutdown(&edge, 0, 2_100);
         assert!(is_own_response(&send_request(&edge, NON_IDEMPOTENT, "quick").await, "quick"));
         begin_shutdown(&edge, 0, 1_900);
--- a/crates/edge-proxy/src/tests/core_silence.rs
+++ b/crates/edge-proxy/src/tests/core_silence.rs
@@ -1,5 +1,5 @@
-//! How soon an edge leaves a core machine that says nothing, or that does not hear its leader. Each bound fails where its constant is
-//! made four times as long.
+//! How soon an edge leaves a core machine that is silent or has lost contact with its leader. Each
+//! limit fails if its constant is made four times as long.
 
 use super::{edge, run, Arrivals};
 use crate::core_feed::listen;
@@ -9,14 +9,15 @@
 use tokio::io::{duplex, split, AsyncWriteExt, DuplexStream};
 use tokio::time::Instant;
 
-/// Between two pulses of a core machine.
+/// Interval between two pulses of a core machine.
 const PULSE_INTERVAL: Duration = Duration::from_millis(200);
 
 fn pulse(fresh: bool) -> Vec<u8> {
     frame(&ToEdge::Pulse { fresh, index: 100, cores: vec![1, 2, 3], edges: 3, loads: Vec::new() })
 }
 
-/// Pulses at their pace: so many that hear the leader, then so many that don't; then nothing.
+/// Sends pulses at their normal interval: first `fresh` ones with contact to the leader, then
+/// `stale` ones without; then nothing.
 async fn core_machine(mut stream: DuplexStream, fresh: usize, stale: usize) {
     for index in 0..fresh + stale {
         if stream.write_all(&pulse(index < fresh)).await.is_err() {
@@ -27,7 +28,7 @@
     std::future::pending::<()>().await;
 }
 
-/// How long an edge stays, and why it leaves.
+/// How long an edge listens to the machine, and why it stops.
 async fn listen_duration(fresh: usize, stale: usize) -> (Duration, String) {
     let edge = edge(1, &Arrivals::default(), Rc::new(|_, _, _| Box::pin(async {})));
     let (edge_end, core_end) = duplex(1 << 16);
@@ -44,10 +45,13 @@
     run(async {
         let (after, reason) = listen_duration(5, 0).await;
         assert_eq!(reason, "silent");
-        // The last pulse came after four pauses.
+        // The last pulse was sent after four intervals.
         let silence = after - PULSE_INTERVAL * 4;
         assert!(silence <= Duration::from_millis(1_000), "after {silence:?}");
-        assert!(silence >= Duration::from_millis(800), "a few late pulses are no silence: {silence:?}");
+        assert!(
+            silence >= Duration::from_millis(800),
+            "a few late pulses must not count as silence: {silence:?}"
+        );
     });
 }
 
--- a/crates/edge-proxy/src/tests/guarantees.rs
+++ b/crates/edge-proxy/src/tests/guarantees.rs
@@ -1,5 +1,5 @@
-//! What clients and marshals may rely on beyond whose answer is whose: time handed on, an end in time, clients that leave, long
-//! bodies, answers without a length.
+//! Guarantees to clients and marshals besides matching responses to requests: remaining time passed
+//! on, timeouts, disconnected clients, long bodies, and responses without a length.
 
 use super::SILENT_CLIENT_TIMEOUT;
 use super::{
@@ -19,8 +19,9 @@
 use tokio::io::{duplex, AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, DuplexStream, ReadBuf};
 use tokio::time::Instant;
 
-/// What the bounds of the rules leave after a client has left or a time is over.
-const SOON: Duration = Duration::from_millis(500);
+/// Time that the edge is allowed for its reaction after a client has disconnected or a deadline has
+/// passed.
+const REACTION_LIMIT: Duration = Duration::from_millis(500);
 
 pub(super) fn ms(time: u64) -> Duration {
     Duration::from_millis(time)
@@ -41,8 +42,13 @@
     found.map(|(_, value)| value.to_owned())
 }
 
-/// Sends a request's head and gives the client's end of the connection.
-pub(super) async fn send_head(edge: &Rc<Edge>, path: &str, remaining: u64, extra: &str) -> DuplexStream {
+/// Sends the head of a request and returns the client's end of the connection.
+pub(super) async fn send_head(
+    edge: &Rc<Edge>,
+    path: &str,
+    remaining_ms: u64,
+    extra_fields: &str,
+) -> DuplexStream {
     let (mut client, server) = duplex(1 << 20);
     tokio::task::spawn_local(server::connection(
         Rc::clone(edge),
@@ -50,7 +56,7 @@
         UnreadTracker::new(SILENT_CLIENT_TIMEOUT),
     ));
     let text = format!(
-        "POST {path} HTTP/1.1\r\nHost: h\r\nX-Milletwing-Attempt-Id: i\r\nX-Milletwing-Remaining-Ms: {remaining}\r\n{extra}\r\n"
+        "POST {path} HTTP/1.1\r\nHost: h\r\nX-Milletwing-Attempt-Id: i\r\nX-Milletwing-Remaining-Ms: {remaining_ms}\r\n{extra_fields}\r\n"
     );
     client.write_all(text.as_bytes()).await.unwrap();
     client
@@ -60,20 +66,20 @@
 fn each_attempt_carries_only_the_remaining_time() {
     run(async {
         let sent_ms: Rc<RefCell<Vec<u64>>> = Rc::default();
-        let noted = Rc::clone(&sent_ms);
+        let recorded = Rc::clone(&sent_ms);
         let edge = edge(
             3,
             &Arrivals::default(),
-            Rc::new(move |call, mut stream, _| {
-                let noted = Rc::clone(&noted);
+            Rc::new(move |connection, mut stream, _| {
+                let recorded = Rc::clone(&recorded);
                 Box::pin(async move {
                     let Some(head) = read_head(&mut stream).await else { return };
-                    let left = header_field(&head, "x-milletwing-remaining-ms")
-                        .expect("every try says what is left");
-                    noted.borrow_mut().push(left.parse().unwrap());
-                    if call == 0 {
+                    let remaining = header_field(&head, "x-milletwing-remaining-ms")
+                        .expect("every attempt states the remaining time");
+                    recorded.borrow_mut().push(remaining.parse().unwrap());
+                    if connection == 0 {
                         tokio::time::sleep(ms(700)).await;
-                        return; // breaks off
+                        return; // the connection breaks
                     }
                     let _ = stream.write_all(ok_response("i").as_bytes()).await;
                     tokio::time::sleep(ms(60_000)).await;
@@ -83,22 +89,23 @@
         assert!(is_own_response(&send_request(&edge, IDEMPOTENT, "i").await, "i"));
         let sent_ms = sent_ms.borrow();
         assert!(sent_ms.len() >= 2 && sent_ms[0] <= 3_000, "{sent_ms:?}");
-        let hedged = sent_ms.iter().skip(1).all(|left| *left <= 3_000 - 600);
-        assert!(hedged, "a later try is handed what the first was: {sent_ms:?}");
+        let later_are_reduced = sent_ms.iter().skip(1).all(|time| *time <= 3_000 - 600);
+        assert!(later_are_reduced, "a later attempt got as much time as the first: {sent_ms:?}");
     });
 }
 
 #[test]
 fn request_is_answered_at_the_route_deadline() {
-    for (path, ran) in [(IDEMPOTENT, true), (NON_IDEMPOTENT, true), (NON_IDEMPOTENT, false)] {
+    for (path, reads_request) in [(IDEMPOTENT, true), (NON_IDEMPOTENT, true), (NON_IDEMPOTENT, false)] {
         run(async move {
-            // A marshal that reads and says nothing; or one that takes connections and reads nothing.
+            // A marshal that reads the request but does not respond, or one that accepts
+            // connections but reads nothing.
             let edge = edge(
                 3,
                 &Arrivals::default(),
                 Rc::new(move |_, mut stream, _| {
                     Box::pin(async move {
-                        if ran {
+                        if reads_request {
                             let _ = read_request(&mut stream).await;
                         }
                         tokio::time::sleep(ms(60_000)).await;
@@ -109,9 +116,12 @@
             let mut client = send_head(&edge, path, 60_000, "Content-Length: 4\r\n").await;
             client.write_all(b"body").await.unwrap();
             let head = read_head(&mut client).await.expect("an answer");
-            let took = started.elapsed();
+            let elapsed = started.elapsed();
             assert!(head.starts_with("HTTP/1.1 504"), "{path}: {head}");
-            assert!(took >= ms(4_990) && took <= ms(5_000) + SOON, "{path}: after {took:?}");
+            assert!(
+                elapsed >= ms(4_990) && elapsed <= ms(5_000) + REACTION_LIMIT,
+                "{path}: after {elapsed:?}"
+            );
         });
     }
 }
@@ -125,7 +135,7 @@
         client.write_all(b"bo").await.unwrap();
         let head = read_head(&mut client).await.expect("an answer");
         assert!(head.starts_with("HTTP/1.1 503"), "{head}");
-        assert!(started.elapsed() <= ms(5_000) + SOON);
+        assert!(started.elapsed() <= ms(5_000) + REACTION_LIMIT);
     });
 }
 
@@ -134,19 +144,19 @@
     for path in [IDEMPOTENT, NON_IDEMPOTENT] {
         run(async move {
             let arrivals = Arrivals::default();
-            let closed: Rc<Cell<Option<Instant>>> = Rc::default();
-            let noted = Rc::clone(&closed);
+            let closed_at: Rc<Cell<Option<Instant>>> = Rc::default();
+            let recorded = Rc::clone(&closed_at);
             let edge = edge(
                 3,
                 &arrivals,
                 Rc::new(move |_, mut stream, arrivals| {
-                    let noted = Rc::clone(&noted);
+                    let recorded = Rc::clone(&recorded);
                     Box::pin(async move {
                         let Some(id) = read_request(&mut stream).await else { return };
                         arrivals.record(id);
-                        // At work until the connection ends.
+                        // Busy until the connection ends.
                         let _ = stream.read_u8().await;
-                        noted.set(Some(Instant::now()));
+                        recorded.set(Some(Instant::now()));
                     })
                 }),
             );
@@ -154,11 +164,15 @@
             client.write_all(b"body").await.unwrap();
             tokio::time::sleep(ms(100)).await;
             drop(client);
-            let left = Instant::now();
+            let disconnected_at = Instant::now();
             tokio::time::sleep(ms(4_000)).await;
-            let ended = closed.get().expect("the marshal's connection is closed");
-            assert!(ended.duration_since(left) <= SOON, "{path}: {:?} later", ended.duration_since(left));
-            assert_eq!(arrivals_of_i(&arrivals), 1, "{path} is sent on for a client that has left");
+            let closed_at = closed_at.get().expect("the connection to the marshal is closed");
+            assert!(
+                closed_at.duration_since(disconnected_at) <= REACTION_LIMIT,
+                "{path}: {:?} later",
+                closed_at.duration_since(disconnected_at)
+            );
+            assert_eq!(arrivals_of_i(&arrivals), 1, "{path} is retried for a client that has disconnected");
         });
     }
 }
@@ -175,9 +189,9 @@
                     let Some(id) = read_request(&mut stream).await else { return };
                     arrivals.record(id);
                     tokio::time::sleep(ms(300)).await;
-                    let away =
+                    let rejection =
                         "HTTP/1.1 503 Busy\r\nX-Milletwing-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
-                    let _ = stream.write_all(away.as_bytes()).await; // the edge may have closed
+                    let _ = stream.write_all(rejection.as_bytes()).await; // the edge may have closed the connection
                     tokio::time::sleep(ms(60_000)).await;
                 })
             }),
@@ -196,15 +210,15 @@
     const LENGTH: usize = 60_000;
     run(async {
         let connections: Rc<RefCell<Vec<Vec<u8>>>> = Rc::default();
-        let noted = Rc::clone(&connections);
+        let recorded = Rc::clone(&connections);
         let edge = edge(
             1,
             &Arrivals::default(),
-            Rc::new(move |call, mut stream, arrivals| {
-                let noted = Rc::clone(&noted);
-                noted.borrow_mut().push(Vec::new());
+            Rc::new(move |connection, mut stream, arrivals| {
+                let recorded = Rc::clone(&recorded);
+                recorded.borrow_mut().push(Vec::new());
                 Box::pin(async move {
-                    if call > 0 {
+                    if connection > 0 {
                         return serve_requests(stream, arrivals, |_, id| {
                             (ok_response(id).into_bytes(), true)
                         })
@@ -215,7 +229,7 @@
                     let _ = stream.write_all(ok_response(&id).as_bytes()).await; // before the body is read
                     let mut bytes = vec![0; 4_096];
                     while let Ok(count @ 1..) = stream.read(&mut bytes).await {
-                        noted.borrow_mut()[call as usize].extend(&bytes[..count]);
+                        recorded.borrow_mut()[connection as usize].extend(&bytes[..count]);
                     }
                 })
             }),
@@ -223,24 +237,24 @@
         let mut client =
             send_head(&edge, NON_IDEMPOTENT, 4_000, &format!("Content-Length: {LENGTH}\r\n")).await;
         client.write_all(&vec![b'x'; LENGTH / 2]).await.unwrap();
-        let early = read_head(&mut client).await.expect("the answer comes before the body's end");
+        let early = read_head(&mut client).await.expect("the response arrives before the end of the body");
         assert!(early.starts_with("HTTP/1.1 200"), "{early}");
-        // Others come meanwhile, and the rest of the body follows.
+        // Other requests arrive in the meantime, and then the rest of the body.
         for id in ["b", "c"] {
             assert!(is_own_response(&send_request(&edge, NON_IDEMPOTENT, id).await, id));
         }
-        let _ = client.write_all(&vec![b'x'; LENGTH / 2]).await; // the edge may have closed
+        let _ = client.write_all(&vec![b'x'; LENGTH / 2]).await; // the edge may have closed the connection
         tokio::time::sleep(ms(500)).await;
         for id in ["d", "e"] {
             assert!(is_own_response(&send_request(&edge, NON_IDEMPOTENT, id).await, id));
         }
-        let first = connections.borrow()[0].clone();
-        assert!(first.iter().all(|byte| *byte == b'x'), "other bytes where the rest of the body is due");
-        assert!(first.len() >= LENGTH / 2 && first.len() <= LENGTH, "{} bytes", first.len());
+        let received = connections.borrow()[0].clone();
+        assert!(received.iter().all(|byte| *byte == b'x'), "other bytes in place of the rest of the body");
+        assert!(received.len() >= LENGTH / 2 && received.len() <= LENGTH, "{} bytes", received.len());
     });
 }
 
-/// A marshal's connection that is reset where it would end.
+/// A connection to a marshal that is reset instead of closed.
 struct ResetAtEnd(DuplexStream);
 
 impl AsyncRead for ResetAtEnd {
@@ -275,7 +289,8 @@
     }
 }
 
-/// An answer without a length, of so many bytes; whether its connection is reset or ends.
+/// Fetches a response without a length, whose connection is then reset or closed. Returns the head,
+/// the body, and whether the response looks complete to the client.
 async fn fetch_without_length(length: usize, reset: bool) -> (String, Vec<u8>, bool) {
     let wrap: fn(DuplexStream) -> Box<dyn Transport> =
         if reset { |stream| Box::new(ResetAtEnd(stream)) } else { |stream| Box::new(stream) };
@@ -301,7 +316,7 @@
     let mut body = Vec::new();
     let read = tokio::time::timeout(ms(10_000), client.read_to_end(&mut body)).await;
     read.expect("the connection ends").unwrap();
-    // What is chunked ends with an empty chunk; what has a length has all of it.
+    // A chunked body ends with an empty chunk; a body with a length has all of its bytes.
     let complete = match header_field(&head, "content-length") {
         Some(length) => length.parse() == Ok(body.len()),
         None => body.ends_with(b"\r\n0\r\n\r\n"),
@@ -322,7 +337,7 @@
             let (head, _, complete) = fetch_without_length(length, true).await;
             assert!(
                 head.starts_with("HTTP/1.1 502") || !complete,
-                "{length} bytes and a reset look whole: {head}"
+                "{length} bytes and a reset look complete: {head}"
             );
         });
     }
@@ -375,15 +390,16 @@
         let mut client = send_head(&edge, NON_IDEMPOTENT, 4_000, "Content-Length: 4\r\n").await;
         client.write_all(b"body").await.unwrap();
         tokio::time::sleep(ms(200)).await;
-        // As after SIGTERM: not ready at once, then every connection is to close.
+        // As after SIGTERM: the edge stops being ready at once, and then every connection is told
+        // to close.
         begin_shutdown(&edge, 2_000, 4_000);
-        assert!(!edge.ready(), "it still looks ready");
+        assert!(!edge.ready(), "the edge still reports ready");
         edge.close_connections.notify_waiters();
-        let text = read_head(&mut client).await.expect("the answer under way");
+        let text = read_head(&mut client).await.expect("the response in flight");
         assert!(text.starts_with("HTTP/1.1 200"), "{text}");
         let mut body = [0; 5];
         client.read_exact(&mut body).await.unwrap();
         assert_eq!(&body, b"hello");
-        assert_eq!(client.read(&mut body).await.unwrap(), 0, "then it closes");
+        assert_eq!(client.read(&mut body).await.unwrap(), 0, "then the connection closes");
     });
 }
--- a/crates/edge-proxy/src/tests/responses.rs
+++ b/crates/edge-proxy/src/tests/responses.rs
@@ -1,4 +1,4 @@
-//! Answers with long heads, and answers that stall.
+//! Responses with long heads, and responses that stall.
 
 use super::guarantees::{header_field, ms, read_head, send_head};
 use super::{edge, run, Arrivals, MarshalStub, IDEMPOTENT};
@@ -6,7 +6,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::Instant;
 
-/// A marshal that answers with these fields and the beginning of a body, and then says nothing.
+/// A marshal that sends a head with the given fields and the first `sent` bytes of a body, and then
+/// nothing more.
 fn stalling_marshal(fields: String, length: usize, sent: usize) -> Rc<MarshalStub> {
     Rc::new(move |_, mut stream, _| {
         let fields = fields.clone();
@@ -23,7 +24,8 @@
     })
 }
 
-/// Guards against 502 for an answer that ran: its head was longer than the buffer that it was read into.
+/// Guards against a 502 for a request that was executed: the response head was longer than the read
+/// buffer.
 #[test]
 fn long_response_head_is_forwarded() {
     run(async {
@@ -36,7 +38,8 @@
     });
 }
 
-/// Guards against an answer that is held for ever: it ends ten seconds behind its last bytes, and does not look whole.
+/// Guards against a response that is held open forever: it ends ten seconds after its last bytes,
+/// and must not look complete.
 #[test]
 fn stalled_response_ends_after_the_stall_timeout() {
     const LENGTH: usize = 60_000;
@@ -47,7 +50,7 @@
         assert!(read_head(&mut client).await.is_some());
         let mut bytes = Vec::new();
         let reading = tokio::time::timeout(ms(60_000), client.read_to_end(&mut bytes));
-        let _ = reading.await.expect("held for ever"); // reset or ended: what counts is that it is short
+        let _ = reading.await.expect("the response is held open"); // reset or closed: only the length of the body matters
         assert!(bytes.len() < LENGTH, "{}", bytes.len());
         assert!(started.elapsed() >= ms(10_000) && started.elapsed() < ms(10_200), "{:?}", started.elapsed());
     });
--- a/crates/edge-proxy/src/tests/shutdown.rs
+++ b/crates/edge-proxy/src/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! What an edge takes while it leaves comes to an end of its own before the edge's.
+//! Requests that an edge accepts during its shutdown finish before it exits.
 
 use super::guarantees::{header_field, ms, read_head, send_head};
 use super::{begin_shutdown, edge, run, Arrivals, NON_IDEMPOTENT};
@@ -8,26 +8,29 @@
 use tokio::time::Instant;
 
 const REMAINING_MS: u64 = 4_000;
-/// Less than the client gives, and more than an order is expected to take.
+/// Less than the time given by the client, and more than a non-idempotent request is expected to
+/// take.
 const EXITS_IN_MS: u64 = 3_000;
 
-/// Guards against LOST: an order was handed to a marshal for longer than the edge had left, and cut at its end.
+/// Guards against losing the response of an executed request: the marshal was given more time than
+/// the edge had left, and the connection was cut when the edge exited.
 #[test]
 fn request_accepted_during_shutdown_gets_the_marshals_response() {
     run(async {
-        let sent_ms = Rc::new(Cell::new(0));
-        let noted = Rc::clone(&sent_ms);
+        let given_ms = Rc::new(Cell::new(0));
+        let recorded = Rc::clone(&given_ms);
         let edge = edge(
             1,
             &Arrivals::default(),
             Rc::new(move |_, mut stream, _| {
-                let noted = Rc::clone(&noted);
+                let recorded = Rc::clone(&recorded);
                 Box::pin(async move {
                     let Some(head) = read_head(&mut stream).await else { return };
                     let id = header_field(&head, "x-milletwing-attempt-id").unwrap();
-                    noted.set(header_field(&head, "x-milletwing-remaining-ms").unwrap().parse().unwrap());
-                    // It stops work at the value that it is handed, and says so.
-                    tokio::time::sleep(ms(noted.get())).await;
+                    recorded.set(header_field(&head, "x-milletwing-remaining-ms").unwrap().parse().unwrap());
+                    // The marshal stops work when the time that it was given is over, and reports
+                    // it.
+                    tokio::time::sleep(ms(recorded.get())).await;
                     let text = format!(
                         "HTTP/1.1 504 Gateway Timeout\r\nX-Milletwing-Attempt-Id: {id}\r\nX-Milletwing-Server-Seal: own\r\nContent-Length: 0\r\n\r\n"
                     );
@@ -43,7 +46,11 @@
         assert!(answer.starts_with("HTTP/1.1 504"), "{answer}");
         assert_eq!(header_field(&answer, "x-milletwing-server-seal").as_deref(), Some("own"));
         assert!(started.elapsed() < ms(EXITS_IN_MS), "{:?}", started.elapsed());
-        assert!(sent_ms.get() > EXITS_IN_MS / 2, "as long as there is: {}", sent_ms.get());
-        assert_eq!(client.read(&mut [0; 8]).await.unwrap(), 0, "then it closes");
+        assert!(
+            given_ms.get() > EXITS_IN_MS / 2,
+            "the marshal got most of the available time: {}",
+            given_ms.get()
+        );
+        assert_eq!(client.read(&mut [0; 8]).await.unwrap(), 0, "then the connection closes");
     });
 }
--- a/crates/edge-proxy/src/tests/tenants.rs
+++ b/crates/edge-proxy/src/tests/tenants.rs
@@ -1,4 +1,5 @@
-//! Tenants and their keys at an edge: where their requests may run, what marshals are told of them, and what is refused.
+//! Tenants and their keys at an edge: where their requests may run, what marshals are told about
+//! them, and what is refused.
 
 use super::SILENT_CLIENT_TIMEOUT;
 use super::{configured_edge, node, ok_response, run};
@@ -25,10 +26,10 @@
         "traveller":{"credentials":["key-t"],"priority":0,"servingRegions":[]}},
     "thresholds":{"maxHeaderBytes":16384,"maxBodyBytes":67108864,"headerGuardS":3,"idleGuardS":15}}"#;
 
-/// The heads that marshals have read, each with the zone of the marshal.
+/// The request heads that marshals have read, each with the zone of the marshal.
 type RequestHeads = Rc<RefCell<Vec<(&'static str, String)>>>;
 
-/// Reads one head; nothing where the connection ends before.
+/// Reads one head; `None` if the connection ends first.
 async fn read_head(stream: &mut DuplexStream) -> Option<String> {
     let mut bytes = Vec::new();
     while !bytes.ends_with(b"\r\n\r\n") {
@@ -37,17 +38,17 @@
     Some(String::from_utf8(bytes).ok()?.to_ascii_lowercase())
 }
 
-/// An edge before four marshals, two in each zone, that answer all and note what they read.
+/// An edge with four marshals, two in each zone, that answer every request and record the heads.
 fn edge() -> (Rc<Edge>, RequestHeads) {
     let heads = RequestHeads::default();
-    let noted = Rc::clone(&heads);
+    let recorded = Rc::clone(&heads);
     let connector: Connector = Box::new(move |address, _| {
         let (edge_end, mut marshal_end) = duplex(1 << 20);
         let zone = if address.ip().octets()[3] < 2 { "a" } else { "b" };
-        let noted = Rc::clone(&noted);
+        let recorded = Rc::clone(&recorded);
         tokio::task::spawn_local(async move {
             while let Some(head) = read_head(&mut marshal_end).await {
-                noted.borrow_mut().push((zone, head));
+                recorded.borrow_mut().push((zone, head));
                 if marshal_end.write_all(ok_response("i").as_bytes()).await.is_err() {
                     return;
                 }
@@ -59,7 +60,7 @@
     (configured_edge(SETTINGS, CONFIGURATION, nodes, connector), heads)
 }
 
-/// Asks on a connection of its own; gives the answer's head.
+/// Sends a request on a new connection and returns the response head.
 async fn send_request(edge: &Rc<Edge>, path: &str, fields: &str) -> String {
     let (mut client, server) = duplex(1 << 20);
     tokio::task::spawn_local(server::connection(
@@ -91,14 +92,14 @@
                 let response = send_request(&edge, path, &format!("Authorization: Token {key}\r\n")).await;
                 assert!(response.starts_with("http/1.1 200"), "{path} {key}: {response}");
             }
-            let strays: Vec<_> =
+            let misplaced: Vec<_> =
                 heads.borrow().iter().filter(|(zone, _)| !zones.contains(zone)).cloned().collect();
-            assert!(strays.is_empty(), "{path} {key}: {} of 40 ran elsewhere", strays.len());
+            assert!(misplaced.is_empty(), "{path} {key}: {} of 40 ran elsewhere", misplaced.len());
         }
     });
 }
 
-/// What a marshal read of a field; nothing where it is absent.
+/// All values of a header field in a head.
 fn fields<'a>(head: &'a str, name: &str) -> Vec<&'a str> {
     head.lines().filter_map(|line| line.split_once(": ").filter(|it| it.0 == name)).map(|it| it.1).collect()
 }
@@ -108,12 +109,13 @@
     run(async {
         let (edge, heads) = edge();
         let forged = "X-Milletwing-Subscriber: southerner\r\nx-milletwing-SUBSCRIBER: traveller\r\n";
-        for (path, sent, told) in [
+        for (path, sent, expected) in [
             ("/any/x", "Authorization: Token key-n1\r\n", &["northerner"][..]),
             ("/any/x", "authorization: tOKEN   key-n2 \r\n", &["northerner"]),
-            // The field that a client writes itself counts for nothing, however often and in whatever case.
+            // The field is ignored when a client sends it, however often and in whatever case.
             ("/any/x", &format!("{forged}Authorization: Token key-n1\r\n{forged}"), &["northerner"]),
-            // One that is named as of this connection only, so that it would be taken away afterwards.
+            // A client that lists the field in `Connection`, so that the edge might remove it as
+            // hop-by-hop after setting it.
             (
                 "/any/x",
                 "Connection: X-Milletwing-Subscriber\r\nAuthorization: Token key-t\r\n",
@@ -126,7 +128,7 @@
             heads.borrow_mut().clear();
             assert!(send_request(&edge, path, sent).await.starts_with("http/1.1 200"), "{path} {sent}");
             let (_, head) = heads.borrow()[0].clone();
-            assert_eq!(fields(&head, "x-milletwing-subscriber"), told, "{path} {sent}: {head}");
+            assert_eq!(fields(&head, "x-milletwing-subscriber"), expected, "{path} {sent}: {head}");
             assert!(
                 !head.contains("key-") && fields(&head, "authorization").is_empty(),
                 "{path} {sent}: {head}"
@@ -175,7 +177,7 @@
             (3, CONFIGURATION.into(), "http/1.1 200"),
             (4, CONFIGURATION.replace("\"traveller\"", "\"other\""), "http/1.1 200"),
         ];
-        for (revision, body, wanted) in bodies {
+        for (revision, body, expected) in bodies {
             let body = body.replace("\"revision\":1", &format!("\"revision\":{revision}"));
             let command = edge.view.borrow().to_configure(revision, body.as_bytes()).unwrap();
             index += 1;
@@ -184,10 +186,10 @@
             heads.borrow_mut().clear();
             client.write_all(text.as_bytes()).await.unwrap();
             let response = read_head(&mut client).await.expect("an answer on the same connection");
-            assert!(response.starts_with(wanted), "revision {revision}: {response}");
+            assert!(response.starts_with(expected), "revision {revision}: {response}");
             let length: usize = fields(&response, "content-length")[0].parse().unwrap();
             client.read_exact(&mut vec![0; length]).await.unwrap();
-            assert_eq!(heads.borrow().len(), usize::from(wanted.ends_with("200")), "revision {revision}");
+            assert_eq!(heads.borrow().len(), usize::from(expected.ends_with("200")), "revision {revision}");
         }
         let (_, last) = heads.borrow()[0].clone();
         assert_eq!(fields(&last, "x-milletwing-subscriber"), ["other"]);
--- a/crates/edge-proxy/src/tests/uploads.rs
+++ b/crates/edge-proxy/src/tests/uploads.rs
@@ -1,4 +1,5 @@
-//! Bodies that go on coming behind an early answer: they come to their end, within the request's time.
+//! Uploads that continue after an early response: they are forwarded to their end, but not beyond
+//! the deadline of the request.
 
 use super::guarantees::{header_field, ms, read_head, send_head};
 use super::{configured_edge, node, ok_response, run, CONFIGURATION, NON_IDEMPOTENT, SETTINGS};
@@ -9,36 +10,38 @@
 use tokio::time::Instant;
 
 const LENGTH: usize = 60_000;
-/// Milliseconds that the client of an upload gives, and a wait that is longer than a connection may be idle, but not so long.
+/// The time that the client of an upload gives, and a pause that is longer than a connection may be
+/// idle but shorter than that time; both in milliseconds.
 const REMAINING_MS: u64 = 4_000;
 const PAUSE_MS: u64 = 3_500;
 
-/// What a marshal that answers before it reads has got: the bytes, and when the connection ended.
+/// What a marshal has received of an upload: the bytes, and when the connection ended.
 #[derive(Default)]
 struct ReceivedUpload {
     bytes: RefCell<Vec<u8>>,
     ended: Cell<Option<Instant>>,
 }
 
-/// A marshal that answers before it reads.
-async fn respond_then_read(mut stream: DuplexStream, response: Rc<ReceivedUpload>) {
+/// A marshal that responds before it reads the body.
+async fn respond_then_read(mut stream: DuplexStream, upload: Rc<ReceivedUpload>) {
     let Some(head) = read_head(&mut stream).await else { return };
     let id = header_field(&head, "x-milletwing-attempt-id").unwrap();
     let _ = stream.write_all(ok_response(&id).as_bytes()).await;
     let mut bytes = vec![0; 4_096];
     while let Ok(count @ 1..) = stream.read(&mut bytes).await {
-        response.bytes.borrow_mut().extend(&bytes[..count]);
+        upload.bytes.borrow_mut().extend(&bytes[..count]);
     }
-    response.ended.set(Some(Instant::now()));
+    upload.ended.set(Some(Instant::now()));
 }
 
-/// Half of a body is sent and answered; gives the client's end and what the marshal goes on to get.
+/// Sends half of a body and reads the early response. Returns the client's end of the connection
+/// and what the marshal receives.
 async fn start_upload() -> (DuplexStream, Rc<ReceivedUpload>) {
-    let response: Rc<ReceivedUpload> = Rc::default();
-    let noted = Rc::clone(&response);
+    let upload: Rc<ReceivedUpload> = Rc::default();
+    let recorded = Rc::clone(&upload);
     let connector: Connector = Box::new(move |_, _| {
         let (edge_end, marshal_end) = duplex(1 << 20);
-        tokio::task::spawn_local(respond_then_read(marshal_end, Rc::clone(&noted)));
+        tokio::task::spawn_local(respond_then_read(marshal_end, Rc::clone(&recorded)));
         Box::pin(async move { Ok(Box::new(edge_end) as Box<dyn Transport>) })
     });
     let body =
@@ -47,37 +50,39 @@
     let length = format!("Content-Length: {LENGTH}\r\n");
     let mut client = send_head(&edge, NON_IDEMPOTENT, REMAINING_MS, &length).await;
     client.write_all(&vec![b'x'; LENGTH / 2]).await.unwrap();
-    let early = read_head(&mut client).await.expect("the answer comes before the body's end");
+    let early = read_head(&mut client).await.expect("the response arrives before the end of the body");
     assert!(early.starts_with("HTTP/1.1 200"), "{early}");
-    (client, response)
+    (client, upload)
 }
 
-/// Guards against LOST: the client's connection was taken for idle once the early answer was out, and the rest of its body cut.
+/// Guards against losing the rest of an upload: once the early response had been sent, the client
+/// connection was taken to be idle and was closed.
 #[test]
 fn upload_continues_after_an_early_response() {
     run(async {
-        let (mut client, response) = start_upload().await;
+        let (mut client, upload) = start_upload().await;
         tokio::time::sleep(ms(PAUSE_MS)).await;
         client.write_all(&vec![b'x'; LENGTH - LENGTH / 2]).await.unwrap();
         tokio::time::sleep(ms(100)).await;
-        assert_eq!(response.bytes.borrow().len(), LENGTH);
+        assert_eq!(upload.bytes.borrow().len(), LENGTH);
     });
 }
 
-/// Guards against a connection that is held for ever by a body that does not come.
+/// Guards against a connection that is held open forever by a body that does not arrive.
 #[test]
 fn stalled_upload_after_an_early_response_is_cut_at_the_deadline() {
     run(async {
         let started = Instant::now();
-        let (_client, response) = start_upload().await;
+        let (_client, upload) = start_upload().await;
         tokio::time::sleep(ms(2 * REMAINING_MS)).await;
-        let ended = response.ended.get().expect("the marshal's connection ends") - started;
+        let ended = upload.ended.get().expect("the connection to the marshal ends") - started;
         assert!(ended >= ms(REMAINING_MS) && ended < ms(REMAINING_MS + 100), "{ended:?}");
-        assert_eq!(response.bytes.borrow().len(), LENGTH / 2);
+        assert_eq!(upload.bytes.borrow().len(), LENGTH / 2);
     });
 }
 
-/// Guards against DENIED: a proper request in chunks got 400 where its body, or the name of a longer field, held `Content-Length`.
+/// Guards against refusing a valid chunked request with 400 because its body, or the name of a
+/// longer header field, contains `Content-Length`.
 #[test]
 fn body_text_is_not_parsed_as_header_fields() {
     run(async {
@@ -95,7 +100,7 @@
         client.write_all(b"14\r\nContent-Length: text\r\n0\r\n\r\n").await.unwrap();
         let response = read_head(&mut client).await.expect("an answer");
         assert!(response.starts_with("HTTP/1.1 200"), "{response}");
-        // Both framings in one head are refused, as ever.
+        // A head with both kinds of framing is still refused.
         let fields = "Transfer-Encoding: chunked\r\nContent-Length: 20\r\n";
         let mut client = send_head(&edge, NON_IDEMPOTENT, REMAINING_MS, fields).await;
         client.write_all(b"0\r\n\r\n").await.unwrap();
--- a/crates/edge-proxy/src/user_timeout/tests.rs
+++ b/crates/edge-proxy/src/user_timeout/tests.rs
@@ -1,4 +1,5 @@
-//! The bound that a socket has, by what its peer may not have read; nothing waits for it.
+//! The user timeout that is set on a socket, depending on what its peer may not have read. No test
+//! waits for it to expire.
 
 use super::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -34,17 +35,19 @@
     delivered.unwrap();
 }
 
-/// Guards against taking a live peer that reads late for a silent host: it has the time of the message.
+/// Guards against taking a live peer that reads late for a silent host: the peer has the time
+/// allowed for the message.
 #[tokio::test]
 async fn large_message_extends_the_timeout() {
     let (mut stream, unread, mut peer) = connected().await;
     send_message(&mut stream, &mut peer, &unread, SMALL).await;
-    assert_eq!(socket_timeout(&stream), SILENCE, "a host without power is noticed as soon as ever");
+    assert_eq!(socket_timeout(&stream), SILENCE, "a host without power is still detected early");
     send_message(&mut stream, &mut peer, &unread, LARGE).await;
     assert_eq!(socket_timeout(&stream), MESSAGE_TIME);
 }
 
-/// Guards against the short bound while an earlier message, answered before it was read, still lies before the peer.
+/// Guards against the short timeout while an earlier message, which was answered before it was
+/// read, is still unread.
 #[tokio::test]
 async fn unread_earlier_message_keeps_the_longer_timeout() {
     let (mut stream, unread, mut peer) = connected().await;
@@ -55,10 +58,14 @@
     assert_eq!(socket_timeout(&stream), MESSAGE_TIME);
     unread.on_response();
     send_message(&mut stream, &mut peer, &unread, SMALL).await;
-    assert_eq!(socket_timeout(&stream), SILENCE, "an answer to the second says that the first was read");
+    assert_eq!(
+        socket_timeout(&stream),
+        SILENCE,
+        "a response to the second message means that the first was read"
+    );
 }
 
-/// Guards against a bound that is shorter than the one for silence where little time is left.
+/// Guards against a timeout shorter than the one for silence when little time is left.
 #[tokio::test]
 async fn expired_message_time_does_not_shorten_the_timeout() {
     let (mut stream, unread, _peer) = connected().await;
@@ -67,14 +74,14 @@
     assert_eq!(socket_timeout(&stream), SILENCE);
 }
 
-/// Guards against reading in pieces as large as the reader's buffer, which may grow for the sake of a long head: answers came later
-/// by a twentieth where many marshals were busy. All that was sent comes, in order.
+/// Guards against reads as large as the reader's buffer, which may grow for a long head: with many
+/// busy marshals, responses then arrived later by a twentieth. All bytes arrive, in order.
 #[tokio::test]
 async fn reads_are_limited_in_size() {
     let (mut stream, _, mut peer) = connected().await;
     let sent: Vec<u8> = (0..LARGE).map(|at| at as u8).collect();
-    let all = sent.clone();
-    let writer = tokio::spawn(async move { peer.write_all(&all).await });
+    let all_bytes = sent.clone();
+    let writer = tokio::spawn(async move { peer.write_all(&all_bytes).await });
     let (mut received, mut buffer) = (Vec::new(), vec![0; LARGE]);
     while received.len() < LARGE {
         let read = stream.read(&mut buffer).await.unwrap();
@@ -83,7 +90,7 @@
     }
     writer.await.unwrap().unwrap();
     assert!(received == sent);
-    assert_eq!(stream.read(&mut buffer).await.unwrap(), 0, "the end of the stream is told");
+    assert_eq!(stream.read(&mut buffer).await.unwrap(), 0, "the end of the stream is reported");
     let mut empty = [0; 0];
     assert_eq!(stream.read(&mut empty).await.unwrap(), 0);
 }
