--- a/crates/edge-proxy/src/attempt.rs
+++ b/crates/edge-proxy/src/attempt.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// An attempt in progress. If it is dropped, the marshal no longer counts the attempt as running.
+/// An attempt in progress. If it is dropped, the router stops counting it at its marshal.
 pub struct SendGuard {
     edge: Rc<Edge>,
     sending: Option<Sending>,
@@ -76,7 +76,7 @@
     pub guard: SendGuard,
     pub result: SendResult,
     pub load: Option<Load>,
-    pub answer: Option<MarshalResponse>,
+    pub response: Option<MarshalResponse>,
 }
 
 /// A marshal's response that has passed its checks, with the start of its body.
@@ -92,14 +92,14 @@
 pub fn send<'a>(
     edge: &Rc<Edge>,
     parts: &Parts,
-    source: &mut RequestBody,
+    request_body: &mut RequestBody,
     sending: Sending,
     deadline: Time,
     id: &'a str,
 ) -> impl std::future::Future<Output = AttemptOutcome> + 'a {
     let edge = Rc::clone(edge);
-    let body = source.take();
-    let target = parts.uri.path_and_query().map_or("/", |it| it.as_str()).parse::<Uri>();
+    let body = request_body.take();
+    let target = parts.uri.path_and_query().map_or("/", |path| path.as_str()).parse::<Uri>();
     let mut headers = parts.headers.clone();
     let method = parts.method.clone();
     if let Ok(node_id) = HeaderValue::from_str(&sending.id) {
@@ -108,7 +108,7 @@
     let guard = SendGuard { edge: Rc::clone(&edge), sending: Some(sending.clone()) };
     async move {
         let mut load = None;
-        let (result, answer) = match (body, target) {
+        let (result, response) = match (body, target) {
             (Some(body), Ok(target)) => {
                 let mut request = Request::new(body);
                 *request.method_mut() = method;
@@ -117,14 +117,14 @@
                 let timeout = time_left(&edge, deadline);
                 let exchange = send_and_check(&edge, &sending, request, deadline, id, &mut load);
                 match tokio::time::timeout(timeout, exchange).await {
-                    Ok(Ok((result, answer))) => (result, Some(answer)),
+                    Ok(Ok((result, response))) => (result, Some(response)),
                     Ok(Err(result)) => (result, None),
                     Err(_) => (SendResult::Silent, None),
                 }
             }
             _ => (SendResult::Unsent, None),
         };
-        AttemptOutcome { guard, result, load, answer }
+        AttemptOutcome { guard, result, load, response }
     }
 }
 
@@ -228,11 +228,11 @@
 /// `deadline` is the deadline of the request.
 pub fn client_response(
     edge: &Rc<Edge>,
-    answer: MarshalResponse,
+    response: MarshalResponse,
     route: &Rc<Route>,
     deadline: Time,
 ) -> Response<ResponseBody> {
-    let MarshalResponse { response, body, lease, keep_alive, exact_size } = answer;
+    let MarshalResponse { response, body, lease, keep_alive, exact_size } = response;
     let (mut parts, ()) = response.into_parts();
     remove_hop_by_hop(&mut parts.headers);
     parts.version = Version::HTTP_11;
--- a/crates/edge-proxy/src/client_stream.rs
+++ b/crates/edge-proxy/src/client_stream.rs
@@ -67,10 +67,10 @@
 pub struct ClientStream<S> {
     stream: S,
     state: Rc<ConnectionState>,
-    /// The time limits for an idle connection and for receiving a head. `timer_phase` is the phase
-    /// that `timer` was set for.
+    /// The time limits for an idle connection and for receiving a head.
     timeouts: (Duration, Duration),
     timer: Pin<Box<tokio::time::Sleep>>,
+    /// The phase that `timer` was set for.
     timer_phase: ConnectionPhase,
 }
 
--- a/crates/edge-proxy/src/core_feed.rs
+++ b/crates/edge-proxy/src/core_feed.rs
@@ -19,15 +19,16 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Interval between reports without updates, and between reports with updates.
+/// Interval between reports without updates, and with updates. While a version is on trial and
+/// there are results to report, a third of the former is used.
 const REPORT_INTERVAL: (Duration, Duration) = (Duration::from_millis(500), Duration::from_millis(250));
 /// Maximum number of hosts whose observations are sent in one report.
 const MAX_OBSERVATIONS_PER_REPORT: usize = 256;
-/// Typical age in milliseconds of a marshal's load, as reported by another edge, when it arrives
-/// here: half a report interval, half a round among the core machines, half a pulse interval, and
-/// the network latency between them.
+/// Typical time in milliseconds that the load of a marshal takes from the edge that received it to
+/// this one: half a report interval, half a round among the core machines, half a pulse interval,
+/// and the network latency between them.
 const LOAD_AGE_MS: u64 = 400;
-/// A core machine that sends nothing for this long is left; it sends five pulses a second.
+/// A core machine that sends nothing for this long is left; normally it sends five pulses a second.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
 /// A core machine that has had no contact with its leader for this long is left.
 const STALE_TIMEOUT: Duration = Duration::from_millis(600);
@@ -79,7 +80,8 @@
     None
 }
 
-/// Applies the messages of one core machine until the machine has to be left. Returns the reason.
+/// Applies the messages of one core machine until the machine has to be left, and updates `cores`
+/// with the members of the core. Returns the reason for leaving.
 pub async fn listen(
     edge: &Rc<Edge>,
     reader: impl AsyncRead + Unpin,
@@ -95,20 +97,20 @@
     }
     let reporter = Rc::clone(edge);
     let report_task = tokio::task::spawn_local(async move {
-        let mut has_reports = false;
+        let mut has_trial_reports = false;
         let mut idle_rounds = 0;
         loop {
-            let interval = if has_reports { REPORT_INTERVAL.0 / 3 } else { REPORT_INTERVAL.1 };
+            let interval = if has_trial_reports { REPORT_INTERVAL.0 / 3 } else { REPORT_INTERVAL.1 };
             let changed = tokio::time::timeout(interval, reporter.status_changed.notified()).await.is_ok();
             let now = reporter.now();
             let reports = reporter.router.borrow_mut().reports(now);
             let observed = reporter.router.borrow_mut().observed(MAX_OBSERVATIONS_PER_REPORT);
-            has_reports = !reports.is_empty();
+            has_trial_reports = !reports.is_empty();
             // Without updates, every second report is enough to show that the edge is alive.
             let reflection = reporter.pending_digest.take();
             let sample = reporter.router.borrow_mut().sample();
             let has_updates = !observed.is_empty() || reflection.is_some() || reporter.names_requested.get();
-            idle_rounds = if changed || has_reports || has_updates { 0 } else { idle_rounds + 1 };
+            idle_rounds = if changed || has_trial_reports || has_updates { 0 } else { idle_rounds + 1 };
             if idle_rounds % 2 == 1 {
                 continue;
             }
--- a/crates/edge-proxy/src/edge.rs
+++ b/crates/edge-proxy/src/edge.rs
@@ -37,8 +37,9 @@
     pub view: RefCell<View>,
     pub pool: Pool,
     pub metrics: Metrics,
-    /// Open client connections, and requests in flight.
+    /// Open client connections.
     pub connections: Cell<usize>,
+    /// Requests in flight.
     pub requests: Cell<usize>,
     /// Set once a shutdown has begun: the edge attracts no new clients, and accepts only what
     /// finishes before it exits.
@@ -48,17 +49,20 @@
     quarantined: Cell<bool>,
     /// Notified when the core orders the process to shut down, to be restarted by the platform.
     pub restart_requested: Notify,
-    /// The digest of the routing tables for the next report; when the last one was made; and
-    /// whether the core has requested the names behind the digest.
+    /// The digest of the routing tables for the next report.
     pub pending_digest: Cell<Option<Reflection>>,
+    /// When the last digest was made.
     digest_made_at: Cell<Time>,
+    /// Set when the core has requested the names that the digest is made of.
     pub names_requested: Cell<bool>,
     /// Notified when client connections are to close after the response in flight.
     pub close_connections: Notify,
     /// Notified when the status that the edge reports has changed.
     pub status_changed: Notify,
+    /// Revision of the last configuration that was applied.
     revision: Cell<u64>,
     ingress: SocketAddrV4,
+    /// Random number that identifies this run of the process.
     incarnation: u64,
     started: Instant,
 }
--- a/crates/edge-proxy/src/framing.rs
+++ b/crates/edge-proxy/src/framing.rs
@@ -50,6 +50,7 @@
     }
 }
 
+/// What follows the bytes of a body or chunk.
 #[derive(Clone, Copy, Debug)]
 enum AfterBytes {
     Head,
@@ -63,14 +64,18 @@
     started: bool,
     bare_line_feed: bool,
     chunked: bool,
+    /// The value of `Content-Length`; `Some(None)` if the field is present but cannot be parsed.
     content_length: Option<Option<u64>>,
 }
 
 /// The line that is being received.
 #[derive(Debug, Default)]
 struct Line {
+    /// The first bytes of the line, up to [`MAX_LINE_PREFIX`].
     prefix: Vec<u8>,
+    /// Length of the line without its line feed.
     bytes: usize,
+    /// The last byte before the line feed.
     last: u8,
 }
 
@@ -142,7 +147,7 @@
     }
 
     /// The state that follows the head.
-    fn body(&self) -> State {
+    fn next_state(&self) -> State {
         match (self.chunked, self.content_length) {
             (true, _) => State::ChunkSize,
             (false, Some(Some(0)) | None) => State::default(),
@@ -158,10 +163,10 @@
         while !bytes.is_empty() {
             let taken = match &mut self.state {
                 State::Unknown => return,
-                State::Bytes(left, next) => {
-                    let taken = bytes.len().min(usize::try_from(*left).unwrap_or(usize::MAX));
-                    *left -= taken as u64;
-                    if *left == 0 {
+                State::Bytes(remaining, next) => {
+                    let taken = bytes.len().min(usize::try_from(*remaining).unwrap_or(usize::MAX));
+                    *remaining -= taken as u64;
+                    if *remaining == 0 {
                         self.state = match next {
                             AfterBytes::Head => State::default(),
                             AfterBytes::ChunkSize => State::ChunkSize,
@@ -170,9 +175,9 @@
                     taken
                 }
                 State::Head(_) | State::ChunkSize | State::Trailers => {
-                    let (taken, ended) = self.line.take(bytes);
-                    if ended {
-                        self.line_ended();
+                    let (taken, line_complete) = self.line.take(bytes);
+                    if line_complete {
+                        self.process_line();
                         self.line.clear();
                     }
                     taken
@@ -182,11 +187,11 @@
         }
     }
 
-    fn line_ended(&mut self) {
+    fn process_line(&mut self) {
         let next = match &mut self.state {
             State::Head(head) => head.add_line(&self.line).then(|| {
                 self.findings.push_back(head.findings());
-                head.body()
+                head.next_state()
             }),
             State::ChunkSize => Some(match self.line.chunk_size() {
                 Some(0) => State::Trailers,
--- a/crates/edge-proxy/src/health_probes.rs
+++ b/crates/edge-proxy/src/health_probes.rs
@@ -51,8 +51,8 @@
     (status == StatusCode::OK).then(|| is_warm(&headers, &probe.sending.id))?
 }
 
-/// Whether a health response says that the marshal is warm; `None` if the response comes from
-/// another incarnation at the same address.
+/// Whether a health response says that the marshal is warm; `None` if it cannot be parsed or comes
+/// from another incarnation at the same address.
 fn is_warm(headers: &HeaderMap, id: &str) -> Option<bool> {
     let id_matches = headers.get(NODE_ID)?.as_bytes() == id.as_bytes();
     let warmup_ms = headers
--- a/crates/edge-proxy/src/lib.rs
+++ b/crates/edge-proxy/src/lib.rs
@@ -64,12 +64,11 @@
     shutdown: ShutdownSignal,
 ) -> Result<(), String> {
     let ingress = settings.binding("ingress")?;
-    let listener =
-        TcpListener::bind(ingress).await.map_err(|problem| format!("ingress {ingress}: {problem}"))?;
+    let listener = TcpListener::bind(ingress).await.map_err(|error| format!("ingress {ingress}: {error}"))?;
     let readiness = match settings.network.bindings.get("readiness") {
-        Some(address) => Some(
-            TcpListener::bind(address).await.map_err(|problem| format!("readiness {address}: {problem}"))?,
-        ),
+        Some(address) => {
+            Some(TcpListener::bind(address).await.map_err(|error| format!("readiness {address}: {error}"))?)
+        }
         None => None,
     };
     let grace = settings.timers.guarantees.graceS.max(1.0);
@@ -103,7 +102,8 @@
     });
     let started = tokio::time::Instant::now();
     let instant_at = |seconds: f64| started + Duration::from_secs_f64(seconds);
-    // Clients cache a name resolution for a while, and some for three times as long as others.
+    // Clients cache a name resolution for some time, and some clients three times as long as
+    // others, so new connections are accepted for most of the grace period.
     while tokio::time::Instant::now() < instant_at(grace * 0.8)
         && (edge.connections.get() > 0 || started.elapsed() < Duration::from_secs_f64(grace * 0.75))
     {
--- a/crates/edge-proxy/src/pool.rs
+++ b/crates/edge-proxy/src/pool.rs
@@ -1,5 +1,5 @@
 //! Connection pool for marshals. A connection carries one request at a time. The most recently used
-//! one is reused first, and none that its marshal may be about to close.
+//! connection is reused first; one that its marshal may be about to close is not reused.
 
 use crate::body::OutgoingBody;
 use crate::user_timeout::{AdaptiveTimeoutStream, UnreadTracker};
--- a/crates/edge-proxy/src/relay.rs
+++ b/crates/edge-proxy/src/relay.rs
@@ -37,7 +37,7 @@
 }
 
 /// Handles a request, and returns either a marshal's response or a refusal of this edge.
-pub async fn answer(
+pub async fn handle_request(
     edge: Rc<Edge>,
     request: Request<Incoming>,
     exchange: &Rc<Exchange>,
@@ -71,12 +71,12 @@
 }
 
 fn refusal_response(edge: &Edge, kind: &Kind, route: Option<&Route>) -> Response<ResponseBody> {
-    let answer = kind.answer();
+    let reply = kind.answer();
     let mut response = Response::new(ResponseBody::Buffered(Some(Bytes::from(format!("{kind}\n")))));
-    *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or_default();
+    *response.status_mut() = StatusCode::from_u16(reply.status).unwrap_or_default();
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-    if answer.again {
+    if reply.again {
         let retry_elsewhere = matches!(kind, Kind::Leaving);
         let retry_after =
             if retry_elsewhere { RETRY_ELSEWHERE_S } else { edge.router.borrow_mut().back(route) };
@@ -208,9 +208,9 @@
         tokio::select! {
             biased;
             Some(outcome) = running.next() => {
-                let (result, answer) = record_outcome(edge, prepared, outcome);
-                if result == SendResult::Served && answer.is_some() {
-                    return final_response(edge, prepared, answer, Kind::Broken);
+                let (result, response) = record_outcome(edge, prepared, outcome);
+                if result == SendResult::Served && response.is_some() {
+                    return final_response(edge, prepared, response, Kind::Broken);
                 }
                 if prepared.body.can_send() && edge.router.borrow().again(edge.now(), &prepared.ticket, result) {
                     let next = edge.router.borrow_mut().pick(edge.now(), &mut prepared.ticket);
@@ -227,14 +227,14 @@
                             running.push(send(edge, &prepared.parts, &mut prepared.body, next, deadline, &id));
                             hedge_pending = hedge_delay.is_some() && prepared.body.can_send();
                         }
-                        Err(kind) if running.is_empty() => return final_response(edge, prepared, answer, kind),
+                        Err(kind) if running.is_empty() => return final_response(edge, prepared, response, kind),
                         Err(_) => {}
                     }
                     continue;
                 }
                 if running.is_empty() {
                     let kind = refusal_kind(&prepared.ticket, result);
-                    return final_response(edge, prepared, answer, kind);
+                    return final_response(edge, prepared, response, kind);
                 }
             }
             _ = hedge_timer.as_mut(), if hedge_pending => {
@@ -256,7 +256,7 @@
     prepared: &mut PreparedRequest,
     outcome: AttemptOutcome,
 ) -> (SendResult, Option<MarshalResponse>) {
-    let AttemptOutcome { guard, result, load, answer } = outcome;
+    let AttemptOutcome { guard, result, load, response } = outcome;
     let sending = guard.disarm();
     let now = edge.now();
     edge.metrics.attempt_ended(result);
@@ -268,20 +268,20 @@
         let duration_ms = now - sending.at;
         event!(TryEnded, "{} at {}: {result:?} after {duration_ms} ms", prepared.id, sending.id);
     }
-    (result, answer)
+    (result, response)
 }
 
 /// Returns the marshal's own response if there is one, and a refusal of this edge otherwise.
 fn final_response(
     edge: &Rc<Edge>,
     prepared: &PreparedRequest,
-    answer: Option<MarshalResponse>,
+    response: Option<MarshalResponse>,
     kind: Kind,
 ) -> Result<(Response<ResponseBody>, Class), Refusal> {
-    match answer {
-        Some(answer) => {
+    match response {
+        Some(response) => {
             let route = &prepared.ticket.route;
-            Ok((client_response(edge, answer, route, prepared.ticket.deadline), route.class))
+            Ok((client_response(edge, response, route, prepared.ticket.deadline), route.class))
         }
         None => Err(prepared.refuse(kind)),
     }
--- a/crates/edge-proxy/src/response_body.rs
+++ b/crates/edge-proxy/src/response_body.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep};
 
-/// Called when a streamed response has ended, with whether it was complete.
+/// Called when a streamed response has ended; the argument says whether it was complete.
 pub type OnEnd = Box<dyn FnOnce(bool)>;
 
 /// The body of a response to a client.
--- a/crates/edge-proxy/src/server.rs
+++ b/crates/edge-proxy/src/server.rs
@@ -24,17 +24,18 @@
 /// Share of the process's file descriptors that client connections may use; the others are for
 /// connections to marshals.
 const CLIENT_FILE_SHARE: f64 = 0.5;
-/// Read buffer in bytes beyond the largest head that the configuration allows. A head that exceeds
-/// the whole buffer is refused with 431 before it has been read completely.
+/// Size of the read buffer beyond the largest head that the configuration allows, in bytes. A head
+/// that exceeds the whole buffer is refused with 431 before it has been read completely.
 const BUFFER_MARGIN: usize = 8 << 10;
-/// The default of the largest request head, in bytes, which is also its lower bound, and its upper
-/// bound.
+/// Lower and upper bound of the configured maximum size of a request head, in bytes. The lower
+/// bound is also the default.
 const HEAD_SIZE_RANGE: (usize, usize) = (16 << 10, 256 << 10);
 /// A client that acknowledges nothing of a short response for this long is disconnected. For a
 /// longer response, the time limit is that of its request.
 const SILENT_CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
-/// Clients are told to reuse an idle connection within two seconds only, since it uses memory until
-/// it closes. It closes a second later, so that a request already on its way is still accepted.
+/// The `Keep-Alive` value sent to clients, and when an idle connection closes. Clients are told to
+/// reuse an idle connection within two seconds only, since it uses memory until it closes. It
+/// closes a second later, so that a request already on its way is still accepted.
 const KEEP_ALIVE: (&str, Duration) = ("timeout=2", Duration::from_secs(3));
 
 /// A response body. The connection waits for the next request head once this body and that of the
@@ -92,14 +93,14 @@
         };
         let unread = UnreadTracker::new(SILENT_CLIENT_TIMEOUT);
         if let Ok(stream) = AdaptiveTimeoutStream::new(stream, Rc::clone(&unread)) {
-            tokio::task::spawn_local(connection(Rc::clone(&edge), stream, unread));
+            tokio::task::spawn_local(serve_connection(Rc::clone(&edge), stream, unread));
         }
     }
 }
 
 /// Serves one client connection until either side ends it. It is counted as open from the call on,
 /// not from the first poll. `unread` tracks what the client may not have read of its responses.
-pub fn connection(
+pub fn serve_connection(
     edge: Rc<Edge>,
     stream: impl AsyncRead + AsyncWrite + Unpin + 'static,
     unread: Rc<UnreadTracker>,
@@ -116,11 +117,13 @@
 ) {
     let (idle_timeout, head_timeout, max_head) = {
         let router = edge.router.borrow();
-        let thresholds = router.configuration().and_then(|it| it.thresholds.as_ref());
-        let max_head = thresholds.map_or(HEAD_SIZE_RANGE.0, |it| it.max_header_bytes as usize);
-        let idle_timeout =
-            thresholds.map_or(15.0, |it| it.idle_guard_s).clamp(1.0, KEEP_ALIVE.1.as_secs_f64());
-        let head_timeout = thresholds.map_or(3.0, |it| it.header_guard_s).clamp(0.5, 600.0);
+        let thresholds = router.configuration().and_then(|configuration| configuration.thresholds.as_ref());
+        let max_head =
+            thresholds.map_or(HEAD_SIZE_RANGE.0, |thresholds| thresholds.max_header_bytes as usize);
+        let idle_timeout = thresholds
+            .map_or(15.0, |thresholds| thresholds.idle_guard_s)
+            .clamp(1.0, KEEP_ALIVE.1.as_secs_f64());
+        let head_timeout = thresholds.map_or(3.0, |thresholds| thresholds.header_guard_s).clamp(0.5, 600.0);
         (
             Duration::from_secs_f64(idle_timeout),
             Duration::from_secs_f64(head_timeout),
@@ -136,15 +139,15 @@
         // Boxed, so that an idle connection holds a pointer instead of space for the whole state of
         // a request.
         Box::pin(async move {
-            let mut answer = relay::answer(edge, request, &exchange).await;
+            let mut response = relay::handle_request(edge, request, &exchange).await;
             // Omitted if the configured `idleGuardS` is shorter still, or if the connection ends
             // with this response.
-            if idle_timeout >= KEEP_ALIVE.1 && !answer.headers().contains_key(header::CONNECTION) {
-                answer
+            if idle_timeout >= KEEP_ALIVE.1 && !response.headers().contains_key(header::CONNECTION) {
+                response
                     .headers_mut()
                     .insert(HeaderName::from_static("keep-alive"), HeaderValue::from_static(KEEP_ALIVE.0));
             }
-            Ok::<_, Infallible>(answer.map(|body| ExchangeBody { body, _exchange: exchange }))
+            Ok::<_, Infallible>(response.map(|body| ExchangeBody { body, _exchange: exchange }))
         })
     });
     let connection = hyper::server::conn::http1::Builder::new()
@@ -179,9 +182,9 @@
                     (true, true) => 200,
                     (true, false) => 503,
                 };
-                let mut answer = Response::new(ResponseBody::Buffered(None));
-                *answer.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
-                async move { Ok::<_, Infallible>(answer) }
+                let mut response = Response::new(ResponseBody::Buffered(None));
+                *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
+                async move { Ok::<_, Infallible>(response) }
             });
             let connection = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
--- a/crates/edge-proxy/src/tests.rs
+++ b/crates/edge-proxy/src/tests.rs
@@ -131,7 +131,7 @@
 
 async fn send_request(edge: &Rc<Edge>, path: &str, id: &str) -> Option<ClientResponse> {
     let (mut client, server) = duplex(1 << 20);
-    tokio::task::spawn_local(server::connection(
+    tokio::task::spawn_local(server::serve_connection(
         Rc::clone(edge),
         server,
         UnreadTracker::new(SILENT_CLIENT_TIMEOUT),
--- a/crates/edge-proxy/src/tests/guarantees.rs
+++ b/crates/edge-proxy/src/tests/guarantees.rs
@@ -50,7 +50,7 @@
     extra_fields: &str,
 ) -> DuplexStream {
     let (mut client, server) = duplex(1 << 20);
-    tokio::task::spawn_local(server::connection(
+    tokio::task::spawn_local(server::serve_connection(
         Rc::clone(edge),
         server,
         UnreadTracker::new(SILENT_CLIENT_TIMEOUT),
@@ -115,7 +115,7 @@
             let started = Instant::now();
             let mut client = send_head(&edge, path, 60_000, "Content-Length: 4\r\n").await;
             client.write_all(b"body").await.unwrap();
-            let head = read_head(&mut client).await.expect("an answer");
+            let head = read_head(&mut client).await.expect("a response");
             let elapsed = started.elapsed();
             assert!(head.starts_with("HTTP/1.1 504"), "{path}: {head}");
             assert!(
@@ -133,7 +133,7 @@
         let started = Instant::now();
         let mut client = send_head(&edge, NON_IDEMPOTENT, 60_000, "Content-Length: 4\r\n").await;
         client.write_all(b"bo").await.unwrap();
-        let head = read_head(&mut client).await.expect("an answer");
+        let head = read_head(&mut client).await.expect("a response");
         assert!(head.starts_with("HTTP/1.1 503"), "{head}");
         assert!(started.elapsed() <= ms(5_000) + REACTION_LIMIT);
     });
@@ -312,7 +312,7 @@
     );
     let mut client =
         send_head(&edge, NON_IDEMPOTENT, 4_000, "Connection: close\r\nContent-Length: 0\r\n").await;
-    let head = read_head(&mut client).await.expect("an answer");
+    let head = read_head(&mut client).await.expect("a response");
     let mut body = Vec::new();
     let read = tokio::time::timeout(ms(10_000), client.read_to_end(&mut body)).await;
     read.expect("the connection ends").unwrap();
@@ -365,7 +365,7 @@
                     })
                 }),
             );
-            let response = send_request(&edge, path, "a").await.expect("an answer");
+            let response = send_request(&edge, path, "a").await.expect("a response");
             assert_eq!((response.status, response.seal.as_str()), (status, "a"), "{path}");
         });
     }
--- a/crates/edge-proxy/src/tests/responses.rs
+++ b/crates/edge-proxy/src/tests/responses.rs
@@ -32,9 +32,13 @@
         let long = "v".repeat(20_000);
         let edge = edge(1, &Arrivals::default(), stalling_marshal(format!("X-Long: {long}\r\n"), 2, 2));
         let mut client = send_head(&edge, IDEMPOTENT, 3_000, "").await;
-        let answer = read_head(&mut client).await.expect("an answer");
-        assert!(answer.starts_with("HTTP/1.1 200"), "{}", answer.lines().next().unwrap_or_default());
-        assert_eq!(header_field(&answer, "x-long"), Some(long));
+        let response_head = read_head(&mut client).await.expect("a response");
+        assert!(
+            response_head.starts_with("HTTP/1.1 200"),
+            "{}",
+            response_head.lines().next().unwrap_or_default()
+        );
+        assert_eq!(header_field(&response_head, "x-long"), Some(long));
     });
 }
 
--- a/crates/edge-proxy/src/tests/shutdown.rs
+++ b/crates/edge-proxy/src/tests/shutdown.rs
@@ -42,9 +42,9 @@
         let started = Instant::now();
         let mut client = send_head(&edge, NON_IDEMPOTENT, REMAINING_MS, "Content-Length: 4\r\n").await;
         client.write_all(b"body").await.unwrap();
-        let answer = read_head(&mut client).await.expect("an answer");
-        assert!(answer.starts_with("HTTP/1.1 504"), "{answer}");
-        assert_eq!(header_field(&answer, "x-milletwing-server-seal").as_deref(), Some("own"));
+        let response_head = read_head(&mut client).await.expect("a response");
+        assert!(response_head.starts_with("HTTP/1.1 504"), "{response_head}");
+        assert_eq!(header_field(&response_head, "x-milletwing-server-seal").as_deref(), Some("own"));
         assert!(started.elapsed() < ms(EXITS_IN_MS), "{:?}", started.elapsed());
         assert!(
             given_ms.get() > EXITS_IN_MS / 2,
--- a/crates/edge-proxy/src/tests/tenants.rs
+++ b/crates/edge-proxy/src/tests/tenants.rs
@@ -63,7 +63,7 @@
 /// Sends a request on a new connection and returns the response head.
 async fn send_request(edge: &Rc<Edge>, path: &str, fields: &str) -> String {
     let (mut client, server) = duplex(1 << 20);
-    tokio::task::spawn_local(server::connection(
+    tokio::task::spawn_local(server::serve_connection(
         Rc::clone(edge),
         server,
         UnreadTracker::new(SILENT_CLIENT_TIMEOUT),
@@ -72,7 +72,7 @@
         "GET {path} HTTP/1.1\r\nHost: h\r\nX-Milletwing-Attempt-Id: i\r\nX-Milletwing-Remaining-Ms: 3000\r\n{fields}\r\n"
     );
     client.write_all(text.as_bytes()).await.unwrap();
-    read_head(&mut client).await.expect("an answer")
+    read_head(&mut client).await.expect("a response")
 }
 
 #[test]
@@ -165,7 +165,7 @@
     run(async {
         let (edge, heads) = edge();
         let (mut client, server) = duplex(1 << 20);
-        tokio::task::spawn_local(server::connection(
+        tokio::task::spawn_local(server::serve_connection(
             Rc::clone(&edge),
             server,
             UnreadTracker::new(SILENT_CLIENT_TIMEOUT),
@@ -185,7 +185,7 @@
             edge.apply_view();
             heads.borrow_mut().clear();
             client.write_all(text.as_bytes()).await.unwrap();
-            let response = read_head(&mut client).await.expect("an answer on the same connection");
+            let response = read_head(&mut client).await.expect("a response on the same connection");
             assert!(response.starts_with(expected), "revision {revision}: {response}");
             let length: usize = fields(&response, "content-length")[0].parse().unwrap();
             client.read_exact(&mut vec![0; length]).await.unwrap();
--- a/crates/edge-proxy/src/tests/uploads.rs
+++ b/crates/edge-proxy/src/tests/uploads.rs
@@ -98,13 +98,13 @@
         let fields = "Transfer-Encoding: chunked\r\nX-Decoded-Content-Length: 20\r\n";
         let mut client = send_head(&edge, NON_IDEMPOTENT, REMAINING_MS, fields).await;
         client.write_all(b"14\r\nContent-Length: text\r\n0\r\n\r\n").await.unwrap();
-        let response = read_head(&mut client).await.expect("an answer");
+        let response = read_head(&mut client).await.expect("a response");
         assert!(response.starts_with("HTTP/1.1 200"), "{response}");
         // A head with both kinds of framing is still refused.
         let fields = "Transfer-Encoding: chunked\r\nContent-Length: 20\r\n";
         let mut client = send_head(&edge, NON_IDEMPOTENT, REMAINING_MS, fields).await;
         client.write_all(b"0\r\n\r\n").await.unwrap();
-        let response = read_head(&mut client).await.expect("an answer");
+        let response = read_head(&mut client).await.expect("a response");
         assert!(response.starts_with("HTTP/1.1 400"), "{response}");
     });
 }
--- a/crates/edge-proxy/src/user_timeout.rs
+++ b/crates/edge-proxy/src/user_timeout.rs
@@ -1,5 +1,5 @@
 //! A TCP connection that is ended when its peer's host is silent, but not when the peer is alive
-//! and reads late.
+//! and slow to read.
 //!
 //! `TCP_USER_TIMEOUT` (RFC 5482) ends a connection whose bytes stay unacknowledged. On Linux this
 //! includes the time during which the receive window of the peer is closed, although the peer
