--- a/crates/edge-proxy/src/attempt.rs
+++ b/crates/edge-proxy/src/attempt.rs
@@ -16,7 +16,7 @@
 use hyper::{Request, Response, Uri, Version};
 use milletwing_config::event;
 use milletwing_routing::table::Route;
-use milletwing_routing::{Load, Result as SendResult, Sending, Time};
+use milletwing_routing::{Attempt, AttemptOutcome, Load, Time};
 use std::error::Error;
 use std::rc::Rc;
 use std::time::Duration;
@@ -51,30 +51,30 @@
 }
 
 /// An attempt in progress. If it is dropped, the router stops counting it at its marshal.
-pub struct SendGuard {
+pub struct AttemptGuard {
     edge: Rc<Edge>,
-    sending: Option<Sending>,
+    attempt: Option<Attempt>,
 }
 
-impl SendGuard {
+impl AttemptGuard {
     /// Releases the attempt without reporting it as dropped: its outcome is reported by the caller.
-    pub fn disarm(mut self) -> Sending {
-        self.sending.take().unwrap_or_else(|| unreachable!("a guard is disarmed once"))
+    pub fn disarm(mut self) -> Attempt {
+        self.attempt.take().unwrap_or_else(|| unreachable!("a guard is disarmed once"))
     }
 }
 
-impl Drop for SendGuard {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        if let Some(sending) = &self.sending {
-            self.edge.router.borrow_mut().dropped(self.edge.now(), sending);
+        if let Some(attempt) = &self.attempt {
+            self.edge.router.borrow_mut().cancel_attempt(self.edge.now(), attempt);
         }
     }
 }
 
-/// The outcome of an attempt.
-pub struct AttemptOutcome {
-    pub guard: SendGuard,
-    pub result: SendResult,
+/// A finished attempt, with its outcome and the response, if one was accepted.
+pub struct FinishedAttempt {
+    pub guard: AttemptGuard,
+    pub outcome: AttemptOutcome,
     pub load: Option<Load>,
     pub response: Option<MarshalResponse>,
 }
@@ -93,38 +93,38 @@
     edge: &Rc<Edge>,
     parts: &Parts,
     request_body: &mut RequestBody,
-    sending: Sending,
+    attempt: Attempt,
     deadline: Time,
     id: &'a str,
-) -> impl std::future::Future<Output = AttemptOutcome> + 'a {
+) -> impl std::future::Future<Output = FinishedAttempt> + 'a {
     let edge = Rc::clone(edge);
     let body = request_body.take();
     let target = parts.uri.path_and_query().map_or("/", |path| path.as_str()).parse::<Uri>();
     let mut headers = parts.headers.clone();
     let method = parts.method.clone();
-    if let Ok(node_id) = HeaderValue::from_str(&sending.id) {
+    if let Ok(node_id) = HeaderValue::from_str(&attempt.id) {
         headers.insert(TARGET_NODE, node_id);
     }
-    let guard = SendGuard { edge: Rc::clone(&edge), sending: Some(sending.clone()) };
+    let guard = AttemptGuard { edge: Rc::clone(&edge), attempt: Some(attempt.clone()) };
     async move {
         let mut load = None;
-        let (result, response) = match (body, target) {
+        let (outcome, response) = match (body, target) {
             (Some(body), Ok(target)) => {
                 let mut request = Request::new(body);
                 *request.method_mut() = method;
                 *request.uri_mut() = target;
                 *request.headers_mut() = headers;
                 let timeout = time_left(&edge, deadline);
-                let exchange = send_and_check(&edge, &sending, request, deadline, id, &mut load);
+                let exchange = send_and_check(&edge, &attempt, request, deadline, id, &mut load);
                 match tokio::time::timeout(timeout, exchange).await {
-                    Ok(Ok((result, response))) => (result, Some(response)),
-                    Ok(Err(result)) => (result, None),
-                    Err(_) => (SendResult::Silent, None),
+                    Ok(Ok((outcome, response))) => (outcome, Some(response)),
+                    Ok(Err(outcome)) => (outcome, None),
+                    Err(_) => (AttemptOutcome::TimedOut, None),
                 }
             }
-            _ => (SendResult::Unsent, None),
+            _ => (AttemptOutcome::NotSent, None),
         };
-        AttemptOutcome { guard, result, load, response }
+        FinishedAttempt { guard, outcome, load, response }
     }
 }
 
@@ -132,18 +132,18 @@
 /// of its body.
 async fn send_and_check(
     edge: &Rc<Edge>,
-    sending: &Sending,
+    attempt: &Attempt,
     mut request: Request<OutgoingBody>,
     deadline: Time,
     id: &str,
     load: &mut Option<Load>,
-) -> Result<(SendResult, MarshalResponse), SendResult> {
+) -> Result<(AttemptOutcome, MarshalResponse), AttemptOutcome> {
     let mut new_only = false;
     let (mut lease, response) = loop {
-        let lease = edge.pool.acquire(sending, new_only).await;
+        let lease = edge.pool.acquire(attempt, new_only).await;
         let mut lease = lease.map_err(|error| match error {
-            AcquireError::ConnectFailed => SendResult::Unreached,
-            AcquireError::AtLimit => SendResult::Unsent,
+            AcquireError::ConnectFailed => AttemptOutcome::ConnectFailed,
+            AcquireError::AtLimit => AttemptOutcome::NotSent,
         })?;
         let remaining = edge.processing_time_left(deadline);
         request.headers_mut().insert(REMAINING_MS, HeaderValue::from(remaining));
@@ -153,7 +153,7 @@
                 new_only = true;
                 continue;
             }
-            return Err(SendResult::Unreached);
+            return Err(AttemptOutcome::ConnectFailed);
         }
         match lease.sender.try_send_request(request).await {
             Ok(response) => break (lease, response),
@@ -163,25 +163,25 @@
                     request = returned;
                     new_only = true;
                 }
-                Some(_) => return Err(SendResult::Unreached),
+                Some(_) => return Err(AttemptOutcome::ConnectFailed),
                 None => {
-                    event!(ConnectionBroken, "{id} at {}: {}", sending.id, root_cause(error.error()));
-                    return Err(SendResult::Broken);
+                    event!(ConnectionBroken, "{id} at {}: {}", attempt.id, root_cause(error.error()));
+                    return Err(AttemptOutcome::ConnectionBroken);
                 }
             },
         }
     };
     let (parts, body) = response.into_parts();
     let headers = &parts.headers;
-    *load = headers.get(NODE_LOAD).and_then(|value| Load::read(value.to_str().ok()?));
+    *load = headers.get(NODE_LOAD).and_then(|value| Load::parse(value.to_str().ok()?));
     let id_matches = headers.get(ATTEMPT_ID).map(|echoed_id| echoed_id.as_bytes() == id.as_bytes());
     let not_executed = headers.contains_key(NOT_EXECUTED);
     if id_matches == Some(false) || (id_matches.is_none() && !not_executed && parts.status != 421) {
-        return Err(SendResult::Broken); // the response belongs to another request, or to none
+        return Err(AttemptOutcome::ConnectionBroken); // the response belongs to another request, or to none
     }
     lease.unread.on_response();
     if parts.status == 421 {
-        return Err(SendResult::Moved);
+        return Err(AttemptOutcome::WrongInstance);
     }
     if not_executed && parts.status != 400 {
         // The connection can be reused once the whole body has been received.
@@ -191,7 +191,7 @@
             lease.reused = true;
             edge.pool.release(lease, keep_alive);
         }
-        return Err(SendResult::TurnedAway);
+        return Err(AttemptOutcome::Rejected);
     }
     let exact_size = body.size_hint().exact();
     // The body of a response without a length ends when its connection closes. A reset is then an
@@ -199,17 +199,18 @@
     let framed = exact_size.is_some() || headers.contains_key(header::TRANSFER_ENCODING);
     let sealed = headers.contains_key(SERVER_SEAL) || !parts.status.is_success();
     if headers.contains_key(header::CONTENT_ENCODING) || !sealed {
-        return Err(SendResult::Broken); // the body is not as the marshal sent it
+        return Err(AttemptOutcome::ConnectionBroken); // the body is not as the marshal sent it
     }
     let keep_alive = if closes_connection(headers) || !framed {
         Some(Duration::ZERO)
     } else {
         keep_alive_timeout(headers)
     };
-    let result = if parts.status.is_server_error() { SendResult::Failed } else { SendResult::Served };
-    let body = buffer_body(body).await.map_err(|_: BodyError| SendResult::Broken)?;
+    let outcome =
+        if parts.status.is_server_error() { AttemptOutcome::Failed } else { AttemptOutcome::Served };
+    let body = buffer_body(body).await.map_err(|_: BodyError| AttemptOutcome::ConnectionBroken)?;
     let response = Response::from_parts(parts, ());
-    Ok((result, MarshalResponse { response, body, lease, keep_alive, exact_size }))
+    Ok((outcome, MarshalResponse { response, body, lease, keep_alive, exact_size }))
 }
 
 /// The innermost cause of an error: "timed out" comes from this host's own timer, "reset" from the
@@ -239,7 +240,7 @@
     let response_body = match body.rest {
         None => {
             let bytes = concat(body.buffered);
-            edge.router.borrow_mut().weighed(route, bytes.len() as u64);
+            edge.router.borrow_mut().record_response_size(route, bytes.len() as u64);
             edge.pool.release(lease, keep_alive);
             ResponseBody::Buffered((!bytes.is_empty()).then_some(bytes))
         }
@@ -247,7 +248,7 @@
             let (recorder, route) = (Rc::clone(edge), Rc::clone(route));
             let on_end = move |complete: bool| {
                 if let (true, Some(exact_size)) = (complete, exact_size) {
-                    recorder.router.borrow_mut().weighed(&route, exact_size);
+                    recorder.router.borrow_mut().record_response_size(&route, exact_size);
                 }
             };
             ResponseBody::Streaming(Box::new(StreamedBody {
--- a/crates/edge-proxy/src/core_feed.rs
+++ b/crates/edge-proxy/src/core_feed.rs
@@ -103,12 +103,12 @@
             let interval = if has_trial_reports { REPORT_INTERVAL.0 / 3 } else { REPORT_INTERVAL.1 };
             let changed = tokio::time::timeout(interval, reporter.status_changed.notified()).await.is_ok();
             let now = reporter.now();
-            let reports = reporter.router.borrow_mut().reports(now);
-            let observed = reporter.router.borrow_mut().observed(MAX_OBSERVATIONS_PER_REPORT);
+            let reports = reporter.router.borrow_mut().trial_reports(now);
+            let observed = reporter.router.borrow_mut().take_observations(MAX_OBSERVATIONS_PER_REPORT);
             has_trial_reports = !reports.is_empty();
             // Without updates, every second report is enough to show that the edge is alive.
             let reflection = reporter.pending_digest.take();
-            let sample = reporter.router.borrow_mut().sample();
+            let sample = reporter.router.borrow_mut().take_sample();
             let has_updates = !observed.is_empty() || reflection.is_some() || reporter.names_requested.get();
             idle_rounds = if changed || has_trial_reports || has_updates { 0 } else { idle_rounds + 1 };
             if idle_rounds % 2 == 1 {
@@ -119,7 +119,7 @@
             let mut bytes = frame(&FromEdge::Beat(Box::new(report)));
             if reporter.names_requested.replace(false) {
                 let mut names = Names::default();
-                reporter.router.borrow().reflect(&mut names);
+                reporter.router.borrow().export_state(&mut names);
                 bytes.extend(frame(&FromEdge::Names(names)));
             }
             if writer.write_all(&bytes).await.is_err() {
@@ -179,7 +179,7 @@
                 }
                 if hears_leader && !lags {
                     last_fresh = Instant::now();
-                    edge.router.borrow_mut().heard(edge.now());
+                    edge.router.borrow_mut().core_heard(edge.now());
                     if !announced {
                         announced = true;
                         event!(FeedUp, "as of entry {index}");
@@ -191,8 +191,8 @@
                 let now = edge.now();
                 {
                     let router = &mut *edge.router.borrow_mut();
-                    router.edges(edges);
-                    router.loads(now, &loads, LOAD_AGE_MS);
+                    router.set_edge_count(edges);
+                    router.apply_shared_loads(now, &loads, LOAD_AGE_MS);
                 }
                 // The core has made its own digest as of this entry.
                 if index == edge.view.borrow().index {
--- a/crates/edge-proxy/src/edge.rs
+++ b/crates/edge-proxy/src/edge.rs
@@ -6,7 +6,7 @@
 use milletwing_config::{event, Settings};
 use milletwing_drift_detection::{Digest, Reflection, Step};
 use milletwing_replicated_state::{EdgeStatus, View};
-use milletwing_routing::{Place, Router, Time};
+use milletwing_routing::{Location, Router, Time};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
 use tokio::sync::Notify;
@@ -70,11 +70,11 @@
 impl Edge {
     /// Creates an edge without a configuration. `connector` opens connections to marshals.
     pub fn new(settings: Settings, ingress: SocketAddrV4, connector: Connector) -> std::rc::Rc<Edge> {
-        let location = Place {
+        let location = Location {
             id: settings.id(),
             zone: settings.own.zone.clone(),
             region: settings.own.region.clone(),
-            zones: settings.network.zones.clone(),
+            zone_regions: settings.network.zones.clone(),
         };
         let router = Router::new(location, settings.timers.guarantees.clone(), rand::random());
         std::rc::Rc::new(Edge {
@@ -108,7 +108,7 @@
 
     /// Whether clients should be sent to this edge.
     pub fn ready(&self) -> bool {
-        self.shutdown.get().is_none() && !self.quarantined.get() && self.router.borrow().ready()
+        self.shutdown.get().is_none() && !self.quarantined.get() && self.router.borrow().has_configuration()
     }
 
     /// The status of this edge as reported to the core.
@@ -158,7 +158,7 @@
         }
         self.digest_made_at.set(now);
         let mut digest = Digest::default();
-        self.router.borrow().reflect(&mut digest);
+        self.router.borrow().export_state(&mut digest);
         self.pending_digest.set(Some(Reflection { index: self.view.borrow().index, digest }));
     }
 
@@ -180,7 +180,7 @@
     /// Rebuilds all routing tables from a view that the core has sent in full.
     pub fn rebuild(&self) {
         event!(Repairs, "{}", Step::Renew.word());
-        self.router.borrow_mut().renew(self.now(), &self.view.borrow());
+        self.router.borrow_mut().rebuild(self.now(), &self.view.borrow());
         self.digest_made_at.set(0);
         self.apply_view();
     }
@@ -193,7 +193,7 @@
             event!(Configured, "revision {revision}");
         }
         self.router.borrow_mut().refresh(self.now(), &self.view.borrow());
-        self.pool.retain_marshals(|marshal| self.router.borrow().knows(marshal));
+        self.pool.retain_marshals(|marshal| self.router.borrow().contains_marshal(marshal));
         if self.ready() != was_ready {
             self.status_changed.notify_waiters();
         }
--- a/crates/edge-proxy/src/health_probes.rs
+++ b/crates/edge-proxy/src/health_probes.rs
@@ -22,13 +22,13 @@
 pub async fn run(edge: Rc<Edge>) {
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
-        let due = edge.router.borrow_mut().probes(edge.now(), MAX_PROBES_PER_POLL);
+        let due = edge.router.borrow_mut().due_probes(edge.now(), MAX_PROBES_PER_POLL);
         for probe in due {
             let edge = Rc::clone(&edge);
             tokio::task::spawn_local(async move {
                 let warm =
                     tokio::time::timeout(PROBE_TIMEOUT, query_health(&edge, &probe)).await.unwrap_or(None);
-                edge.router.borrow_mut().probed(edge.now(), &probe, warm);
+                edge.router.borrow_mut().record_probe_result(edge.now(), &probe, warm);
             });
         }
     }
@@ -36,11 +36,11 @@
 
 /// Queries one marshal: whether it is warm, or `None` if there is no reliable response.
 async fn query_health(edge: &Rc<Edge>, probe: &Probe) -> Option<bool> {
-    let mut lease = edge.pool.acquire(&probe.sending, false).await.ok()?;
+    let mut lease = edge.pool.acquire(&probe.attempt, false).await.ok()?;
     lease.sender.ready().await.ok()?;
     let mut request = Request::new(OutgoingBody::Buffered(None));
     *request.uri_mut() = probe.path.parse().ok()?;
-    let host = HeaderValue::from_str(&probe.sending.address.to_string()).ok()?;
+    let host = HeaderValue::from_str(&probe.attempt.address.to_string()).ok()?;
     request.headers_mut().insert(HOST, host);
     let response = lease.sender.send_request(request).await.ok()?;
     let (status, headers) = (response.status(), response.headers().clone());
@@ -48,7 +48,7 @@
     if body.rest.is_none() {
         edge.pool.release(lease, Some(Duration::ZERO));
     }
-    (status == StatusCode::OK).then(|| is_warm(&headers, &probe.sending.id))?
+    (status == StatusCode::OK).then(|| is_warm(&headers, &probe.attempt.id))?
 }
 
 /// Whether a health response says that the marshal is warm; `None` if it cannot be parsed or comes
--- a/crates/edge-proxy/src/metrics.rs
+++ b/crates/edge-proxy/src/metrics.rs
@@ -3,7 +3,7 @@
 use milletwing_config::configuration::Class;
 use milletwing_config::Kind;
 use milletwing_metrics::{exponential_buckets, Histogram};
-use milletwing_routing::Result as SendResult;
+use milletwing_routing::AttemptOutcome;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -49,8 +49,8 @@
     }
 
     /// Counts a finished attempt.
-    pub fn attempt_ended(&self, result: SendResult) {
-        *self.tries.borrow_mut().entry(result_label(result)).or_default() += 1;
+    pub fn attempt_ended(&self, outcome: AttemptOutcome) {
+        *self.tries.borrow_mut().entry(outcome_label(outcome)).or_default() += 1;
     }
 }
 
@@ -85,16 +85,16 @@
     }
 }
 
-fn result_label(result: SendResult) -> &'static str {
-    match result {
-        SendResult::Served => "served",
-        SendResult::Failed => "failed",
-        SendResult::TurnedAway => "turned_away",
-        SendResult::Moved => "moved",
-        SendResult::Unreached => "unreached",
-        SendResult::Unsent => "unsent",
-        SendResult::Broken => "broken",
-        SendResult::Silent => "silent",
-        SendResult::Dropped => "dropped",
+fn outcome_label(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
+        AttemptOutcome::Served => "served",
+        AttemptOutcome::Failed => "failed",
+        AttemptOutcome::Rejected => "turned_away",
+        AttemptOutcome::WrongInstance => "moved",
+        AttemptOutcome::ConnectFailed => "unreached",
+        AttemptOutcome::NotSent => "unsent",
+        AttemptOutcome::ConnectionBroken => "broken",
+        AttemptOutcome::TimedOut => "silent",
+        AttemptOutcome::Cancelled => "dropped",
     }
 }
--- a/crates/edge-proxy/src/pool.rs
+++ b/crates/edge-proxy/src/pool.rs
@@ -8,7 +8,7 @@
 use hashbrown::HashMap;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
-use milletwing_routing::Sending;
+use milletwing_routing::Attempt;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -93,18 +93,18 @@
     }
 
     /// Returns an idle or new connection to a marshal; always a new one if `new_only` is set.
-    pub async fn acquire(&self, sending: &Sending, new_only: bool) -> Result<Lease, AcquireError> {
+    pub async fn acquire(&self, attempt: &Attempt, new_only: bool) -> Result<Lease, AcquireError> {
         let open_count = {
             let mut by_marshal = self.by_marshal.borrow_mut();
-            let connections = by_marshal.entry(sending.marshal).or_default();
+            let connections = by_marshal.entry(attempt.marshal_key).or_default();
             let now = Instant::now();
             while let Some(idle) = connections.idle.pop() {
                 if !new_only && now < idle.usable_until && idle.sender.is_ready() {
                     let IdleConnection { sender, unread, .. } = idle;
-                    return Ok(Lease { sender, marshal: sending.marshal, unread, reused: true });
+                    return Ok(Lease { sender, marshal: attempt.marshal_key, unread, reused: true });
                 }
             }
-            if connections.open_count.get() >= sending.connections {
+            if connections.open_count.get() >= attempt.max_connections {
                 return Err(AcquireError::AtLimit);
             }
             connections.open_count.set(connections.open_count.get() + 1);
@@ -112,7 +112,7 @@
         };
         let open_guard = OpenCount(open_count);
         let unread = UnreadTracker::new(SILENT_HOST_TIMEOUT);
-        let stream = (self.connect)(sending.address, Rc::clone(&unread))
+        let stream = (self.connect)(attempt.address, Rc::clone(&unread))
             .await
             .map_err(|_| AcquireError::ConnectFailed)?;
         let mut builder = http1::Builder::new();
@@ -123,7 +123,7 @@
             let _ = connection.await; // the sender of the connection sees its end
             drop(open_guard);
         });
-        Ok(Lease { sender, marshal: sending.marshal, unread, reused: false })
+        Ok(Lease { sender, marshal: attempt.marshal_key, unread, reused: false })
     }
 
     /// Returns a connection to the pool after a complete response. `keep_alive` is how long the
--- a/crates/edge-proxy/src/relay.rs
+++ b/crates/edge-proxy/src/relay.rs
@@ -1,7 +1,7 @@
 //! Carries one request from its head to its response. The router decides what to do; this module
 //! does it: it sends bytes, checks responses and runs timers.
 
-use crate::attempt::{client_response, send, time_left, AttemptOutcome, MarshalResponse, RequestBody};
+use crate::attempt::{client_response, send, time_left, FinishedAttempt, MarshalResponse, RequestBody};
 use crate::body::{buffer_body, concat, BufferedBody, Upload};
 use crate::client_stream::Exchange;
 use crate::edge::Edge;
@@ -17,7 +17,7 @@
 use milletwing_config::configuration::Class;
 use milletwing_config::{event, Kind};
 use milletwing_routing::table::Route;
-use milletwing_routing::{Head, Result as SendResult, Sending, Ticket};
+use milletwing_routing::{Attempt, AttemptOutcome, RequestHead, RoutedRequest};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -78,8 +78,11 @@
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     if reply.again {
         let retry_elsewhere = matches!(kind, Kind::Leaving);
-        let retry_after =
-            if retry_elsewhere { RETRY_ELSEWHERE_S } else { edge.router.borrow_mut().back(route) };
+        let retry_after = if retry_elsewhere {
+            RETRY_ELSEWHERE_S
+        } else {
+            edge.router.borrow_mut().retry_after_seconds(route)
+        };
         let retry_after = format!("{retry_after:.3}");
         if let Ok(retry_after) = HeaderValue::from_str(&retry_after) {
             headers.insert(header::RETRY_AFTER, retry_after);
@@ -99,14 +102,14 @@
 struct PreparedRequest {
     parts: Parts,
     body: RequestBody,
-    ticket: Ticket,
+    routed: RoutedRequest,
     host: String,
     id: String,
 }
 
 impl PreparedRequest {
     fn refuse(&self, kind: Kind) -> Refusal {
-        Refusal { kind, id: self.id.clone(), route: Some(Rc::clone(&self.ticket.route)) }
+        Refusal { kind, id: self.id.clone(), route: Some(Rc::clone(&self.routed.route)) }
     }
 }
 
@@ -128,24 +131,28 @@
     let host = host.or(parts.uri.host()).unwrap_or("").to_owned();
     let remaining_ms =
         parts.headers.get(REMAINING_MS).and_then(|value| value.to_str().ok()?.trim().parse().ok());
-    let ticket = {
+    let routed = {
         let mut router = edge.router.borrow_mut();
-        let head = Head {
+        let head = RequestHead {
             host: &host,
             path: parts.uri.path(),
-            remaining: remaining_ms,
-            key: tenant_key(&parts.headers),
+            remaining_ms,
+            api_key: tenant_key(&parts.headers),
         };
-        let ticket = router.arrive(edge.now(), head).map_err(|kind| refuse(kind, None))?;
+        let routed = router.route_request(edge.now(), head).map_err(|kind| refuse(kind, None))?;
         // Before the tenant is set: a client may list that header field in its `Connection` header.
         remove_hop_by_hop(&mut parts.headers);
         // At once, with the configuration that the request was accepted by: a new one may come into
         // force while the body arrives.
-        set_tenant(&mut parts.headers, ticket.tenant.as_ref().map(|tenant| &*tenant.name), router.keyed());
-        ticket
+        set_tenant(
+            &mut parts.headers,
+            routed.tenant.as_ref().map(|tenant| &*tenant.name),
+            router.requires_keys(),
+        );
+        routed
     };
-    let route = &ticket.route;
-    let time_left = time_left(edge, ticket.deadline);
+    let route = &routed.route;
+    let time_left = time_left(edge, routed.deadline);
     let deadline = Instant::now() + time_left;
     exchange.state().unread.start_message(time_left);
     let reading = tokio::time::timeout_at(deadline, buffer_body(body));
@@ -166,7 +173,7 @@
             RequestBody::Streaming(Some(Upload::new(buffered, rest, max_body, deadline, Rc::clone(exchange))))
         }
     };
-    Ok(PreparedRequest { parts, body, ticket, host, id })
+    Ok(PreparedRequest { parts, body, routed, host, id })
 }
 
 /// Returns a marshal's response with the class of its route, or why this edge refuses the request.
@@ -176,16 +183,22 @@
     exchange: &Rc<Exchange>,
 ) -> Result<(Response<ResponseBody>, Class), Refusal> {
     let mut prepared = prepare(edge, request, exchange).await?;
-    let first = edge.router.borrow_mut().pick(edge.now(), &mut prepared.ticket);
+    let first = edge.router.borrow_mut().start_attempt(edge.now(), &mut prepared.routed);
     let first = first.map_err(|kind| prepared.refuse(kind))?;
     // Refuses a request that is unlikely to finish before this process exits.
-    let expected = edge.router.borrow().may_take(edge.now(), &prepared.ticket, &first);
+    let expected = edge.router.borrow().expected_duration_bound(edge.now(), &prepared.routed, &first);
     if edge.is_too_late(expected) {
-        edge.router.borrow_mut().ended(edge.now(), &mut prepared.ticket, &first, SendResult::Unsent, None);
+        edge.router.borrow_mut().finish_attempt(
+            edge.now(),
+            &mut prepared.routed,
+            &first,
+            AttemptOutcome::NotSent,
+            None,
+        );
         return Err(prepared.refuse(Kind::Leaving));
     }
     let request_info = [prepared.id.as_str(), prepared.host.as_str(), prepared.parts.uri.path()];
-    edge.router.borrow_mut().note(edge.now(), request_info, &prepared.ticket, &first);
+    edge.router.borrow_mut().record_sample(edge.now(), request_info, &prepared.routed, &first);
     try_marshals(edge, &mut prepared, first).await
 }
 
@@ -194,11 +207,11 @@
 async fn try_marshals(
     edge: &Rc<Edge>,
     prepared: &mut PreparedRequest,
-    first: Sending,
+    first: Attempt,
 ) -> Result<(Response<ResponseBody>, Class), Refusal> {
-    let (deadline, id) = (prepared.ticket.deadline, prepared.id.clone());
+    let (deadline, id) = (prepared.routed.deadline, prepared.id.clone());
     let mut deadline_timer = std::pin::pin!(tokio::time::sleep(time_left(edge, deadline)));
-    let hedge_delay = edge.router.borrow().patience(&prepared.ticket, &first);
+    let hedge_delay = edge.router.borrow().hedge_delay(&prepared.routed, &first);
     let mut hedge_timer = std::pin::pin!(tokio::time::sleep(Duration::from_millis(hedge_delay.unwrap_or(0))));
     let mut hedge_pending = hedge_delay.is_some() && prepared.body.can_send();
     let mut running = FuturesUnordered::new();
@@ -207,18 +220,18 @@
     loop {
         tokio::select! {
             biased;
-            Some(outcome) = running.next() => {
-                let (result, response) = record_outcome(edge, prepared, outcome);
-                if result == SendResult::Served && response.is_some() {
+            Some(finished) = running.next() => {
+                let (outcome, response) = record_outcome(edge, prepared, finished);
+                if outcome == AttemptOutcome::Served && response.is_some() {
                     return final_response(edge, prepared, response, Kind::Broken);
                 }
-                if prepared.body.can_send() && edge.router.borrow().again(edge.now(), &prepared.ticket, result) {
-                    let next = edge.router.borrow_mut().pick(edge.now(), &mut prepared.ticket);
+                if prepared.body.can_send() && edge.router.borrow().may_retry(edge.now(), &prepared.routed, outcome) {
+                    let next = edge.router.borrow_mut().start_attempt(edge.now(), &mut prepared.routed);
                     match next {
                         Ok(next) => {
                             // The hedge timer was set for the attempt that has ended; the new one
                             // gets its own delay.
-                            let hedge_delay = edge.router.borrow().patience(&prepared.ticket, &next);
+                            let hedge_delay = edge.router.borrow().hedge_delay(&prepared.routed, &next);
                             if let Some(hedge_delay) = hedge_delay {
                                 let until = tokio::time::Instant::now() + Duration::from_millis(hedge_delay);
                                 hedge_timer.as_mut().reset(until);
@@ -233,14 +246,14 @@
                     continue;
                 }
                 if running.is_empty() {
-                    let kind = refusal_kind(&prepared.ticket, result);
+                    let kind = refusal_kind(&prepared.routed, outcome);
                     return final_response(edge, prepared, response, kind);
                 }
             }
             _ = hedge_timer.as_mut(), if hedge_pending => {
                 hedge_pending = false;
-                edge.router.borrow_mut().impatient(edge.now(), &latest);
-                let next = edge.router.borrow_mut().pick(edge.now(), &mut prepared.ticket);
+                edge.router.borrow_mut().record_timeout(edge.now(), &latest);
+                let next = edge.router.borrow_mut().start_attempt(edge.now(), &mut prepared.routed);
                 if let Ok(next) = next {
                     running.push(send(edge, &prepared.parts, &mut prepared.body, next, deadline, &id));
                 }
@@ -250,25 +263,26 @@
     }
 }
 
-/// Reports the outcome of an attempt to the router, and returns the result with the response.
+/// Reports the outcome of an attempt to the router, and returns it with the response.
 fn record_outcome(
     edge: &Edge,
     prepared: &mut PreparedRequest,
-    outcome: AttemptOutcome,
-) -> (SendResult, Option<MarshalResponse>) {
-    let AttemptOutcome { guard, result, load, response } = outcome;
-    let sending = guard.disarm();
+    finished: FinishedAttempt,
+) -> (AttemptOutcome, Option<MarshalResponse>) {
+    let FinishedAttempt { guard, outcome, load, response } = finished;
+    let attempt = guard.disarm();
     let now = edge.now();
-    edge.metrics.attempt_ended(result);
-    let avoided_ms = edge.router.borrow_mut().ended(now, &mut prepared.ticket, &sending, result, load);
+    edge.metrics.attempt_ended(outcome);
+    let avoided_ms =
+        edge.router.borrow_mut().finish_attempt(now, &mut prepared.routed, &attempt, outcome, load);
     if let Some(span) = avoided_ms {
-        event!(NodeAvoided, "{} for {span} ms: {result:?}", sending.id);
+        event!(NodeAvoided, "{} for {span} ms: {outcome:?}", attempt.id);
     }
-    if result != SendResult::Served {
-        let duration_ms = now - sending.at;
-        event!(TryEnded, "{} at {}: {result:?} after {duration_ms} ms", prepared.id, sending.id);
+    if outcome != AttemptOutcome::Served {
+        let duration_ms = now - attempt.started_at;
+        event!(TryEnded, "{} at {}: {outcome:?} after {duration_ms} ms", prepared.id, attempt.id);
     }
-    (result, response)
+    (outcome, response)
 }
 
 /// Returns the marshal's own response if there is one, and a refusal of this edge otherwise.
@@ -280,19 +294,19 @@
 ) -> Result<(Response<ResponseBody>, Class), Refusal> {
     match response {
         Some(response) => {
-            let route = &prepared.ticket.route;
-            Ok((client_response(edge, response, route, prepared.ticket.deadline), route.class))
+            let route = &prepared.routed.route;
+            Ok((client_response(edge, response, route, prepared.routed.deadline), route.class))
         }
         None => Err(prepared.refuse(kind)),
     }
 }
 
 /// The reason given to the client when there is no response of a marshal.
-fn refusal_kind(ticket: &Ticket, result: SendResult) -> Kind {
-    match result {
-        SendResult::Silent => Kind::Silent,
-        _ if ticket.ran => Kind::Broken,
-        SendResult::TurnedAway | SendResult::Moved => Kind::TurnedAway,
+fn refusal_kind(routed: &RoutedRequest, outcome: AttemptOutcome) -> Kind {
+    match outcome {
+        AttemptOutcome::TimedOut => Kind::Silent,
+        _ if routed.may_have_run => Kind::Broken,
+        AttemptOutcome::Rejected | AttemptOutcome::WrongInstance => Kind::TurnedAway,
         _ => Kind::NoMarshal,
     }
 }
