--- a/crates/edge-proxy/src/framing/tests.rs
+++ b/crates/edge-proxy/src/framing/tests.rs
@@ -18,8 +18,8 @@
 
 fn assert_findings_for_any_chunk_size(text: &[u8], expected: &[HeadFindings]) {
     for size in 1..=text.len() {
-        let text_of = String::from_utf8_lossy(text);
-        assert_eq!(findings_of(text.chunks(size)), expected, "{text_of} in parts of {size}");
+        let shown = String::from_utf8_lossy(text);
+        assert_eq!(findings_of(text.chunks(size)), expected, "{shown} in parts of {size}");
     }
 }
 
@@ -38,19 +38,20 @@
 #[test]
 fn only_header_fields_of_the_head_affect_its_framing() {
     let head = "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n";
-    let words = format!("{head}\r\n17\r\nContent-Length: 5\r\n\r\n\r\n\r\n0\r\n\r\n{head}\r\n0\r\n\r\n");
-    assert_findings_for_any_chunk_size(words.as_bytes(), &[CLEAN, CLEAN]);
-    let longer = format!("{head}X-Decoded-Content-Length: 5\r\nX-Name: Content-Length: 5\r\n\r\n0\r\n\r\n");
-    assert_findings_for_any_chunk_size(longer.as_bytes(), &[CLEAN]);
+    let body_text = format!("{head}\r\n17\r\nContent-Length: 5\r\n\r\n\r\n\r\n0\r\n\r\n{head}\r\n0\r\n\r\n");
+    assert_findings_for_any_chunk_size(body_text.as_bytes(), &[CLEAN, CLEAN]);
+    let longer_names =
+        format!("{head}X-Decoded-Content-Length: 5\r\nX-Name: Content-Length: 5\r\n\r\n0\r\n\r\n");
+    assert_findings_for_any_chunk_size(longer_names.as_bytes(), &[CLEAN]);
     let trailer = format!("{head}\r\n0\r\nContent-Length: 5\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\n\r\n");
     assert_findings_for_any_chunk_size(trailer.as_bytes(), &[CLEAN, CLEAN]);
 }
 
 #[test]
 fn conflicting_framing_is_detected_in_pipelined_requests() {
-    let sized = "POST /a HTTP/1.1\r\nHost: h\r\ncontent-length:  3 \r\n\r\nabc";
+    let with_length = "POST /a HTTP/1.1\r\nHost: h\r\ncontent-length:  3 \r\n\r\nabc";
     let conflicting = "POST /a HTTP/1.1\r\nHost: h\r\nCONTENT-LENGTH: 3\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0\r\n\r\n";
-    let text = [sized, conflicting, sized, conflicting, "\r\n", sized].concat();
+    let text = [with_length, conflicting, with_length, conflicting, "\r\n", with_length].concat();
     assert_findings_for_any_chunk_size(text.as_bytes(), &[CLEAN, CONFLICTING, CLEAN, CONFLICTING, CLEAN]);
 }
 
@@ -116,8 +117,8 @@
 }
 
 /// Pipelined random requests, split anywhere, get the findings of their own heads, whatever their
-/// bodies contain. To run with more inputs: `FRAMING_INPUTS=10000000 cargo test --release -p
-/// milletwing-edge-proxy framing`.
+/// bodies contain. To run with more inputs:
+/// `FRAMING_INPUTS=10000000 cargo test --release -p milletwing-edge-proxy framing`.
 #[test]
 fn findings_are_independent_of_bodies_and_chunking() {
     let inputs = std::env::var("FRAMING_INPUTS").map_or(20_000, |text| text.parse().unwrap());
--- a/crates/edge-proxy/src/server.rs
+++ b/crates/edge-proxy/src/server.rs
@@ -152,7 +152,8 @@
     });
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(idle_timeout + head_timeout + Duration::from_secs(1)) // in case `ClientStream` is not polled
+        // A fallback in case `ClientStream` is not polled.
+        .header_read_timeout(idle_timeout + head_timeout + Duration::from_secs(1))
         .max_buf_size(max_head + BUFFER_MARGIN)
         .serve_connection(TokioIo::new(client_stream), service);
     let mut connection = std::pin::pin!(connection);
--- a/crates/edge-proxy/src/tests.rs
+++ b/crates/edge-proxy/src/tests.rs
@@ -147,8 +147,9 @@
     let text = String::from_utf8(bytes).unwrap();
     let (head, body) = text.split_once("\r\n\r\n")?;
     let field = |name: &str| {
-        let line =
-            head.lines().find_map(|line| line.split_once(": ").filter(|it| it.0.eq_ignore_ascii_case(name)));
+        let line = head
+            .lines()
+            .find_map(|line| line.split_once(": ").filter(|field| field.0.eq_ignore_ascii_case(name)));
         line.map(|(_, value)| value.to_owned())
     };
     let length: usize = field("content-length")?.parse().ok()?;
@@ -231,7 +232,7 @@
                     assert_eq!(arrival_count, 1 + u32::from(cut < full_length));
                 } else {
                     assert_eq!(
-                        response.map(|it| it.status),
+                        response.map(|response| response.status),
                         Some(502),
                         "{path} cut at {cut}: it may have been executed"
                     );
@@ -268,7 +269,8 @@
                                 }
                                 if index == 0 && late {
                                     tokio::time::sleep(Duration::from_millis(30)).await;
-                                    let _ = stream.write_all(&surplus).await; // the edge may have closed the connection
+                                    // The edge may have closed the connection.
+                                    let _ = stream.write_all(&surplus).await;
                                 }
                             }
                         })
@@ -280,7 +282,7 @@
                 }
                 for id in ["b", "c"] {
                     let response = send_request(&edge, NON_IDEMPOTENT, id).await;
-                    let broken = response.as_ref().is_some_and(|it| it.status == 502);
+                    let broken = response.as_ref().is_some_and(|response| response.status == 502);
                     assert!(
                         is_own_response(&response, id) || broken,
                         "{length} surplus bytes, late {late}: {id} got {response:?}"
@@ -345,7 +347,8 @@
                         // one, and close.
                         let Some(id) = read_request(&mut stream).await else { return };
                         arrivals.record(id.clone());
-                        let _ = stream.write_all(ok_response(&id).as_bytes()).await; // a failed write shows in the assertions below
+                        // If the write fails, the assertions below fail.
+                        let _ = stream.write_all(ok_response(&id).as_bytes()).await;
                         if connection > 2 {
                             return serve_requests(stream, arrivals, |_, id| {
                                 (ok_response(id).into_bytes(), true)
@@ -365,9 +368,9 @@
                 arrivals.of("second") <= 1,
                 "{read} bytes were read, and the request was sent again: {response:?}"
             );
-            let exits_at = is_own_response(&response, "second")
-                || response.as_ref().is_some_and(|it| matches!(it.status, 502 | 504));
-            assert!(exits_at, "{read} bytes were read: {response:?}");
+            let valid_outcome = is_own_response(&response, "second")
+                || response.as_ref().is_some_and(|response| matches!(response.status, 502 | 504));
+            assert!(valid_outcome, "{read} bytes were read: {response:?}");
         });
     }
 }
@@ -398,7 +401,7 @@
                 }),
             );
             let response = send_request(&edge, NON_IDEMPOTENT, "a").await;
-            assert_eq!(response.map(|it| it.status), Some(502), "{text}");
+            assert_eq!(response.map(|response| response.status), Some(502), "{text}");
             assert_eq!(arrivals.of("a"), 1);
         });
     }
@@ -424,7 +427,7 @@
         begin_shutdown(&edge, 0, 1_900);
         for path in [IDEMPOTENT, NON_IDEMPOTENT] {
             let response = send_request(&edge, path, "late").await;
-            assert_eq!(response.map(|it| it.status), Some(503));
+            assert_eq!(response.map(|response| response.status), Some(503));
         }
         assert_eq!((arrivals.of("early"), arrivals.of("late")), (1, 0));
     });
--- a/crates/edge-proxy/src/tests/core_silence.rs
+++ b/crates/edge-proxy/src/tests/core_silence.rs
@@ -33,20 +33,20 @@
     let edge = edge(1, &Arrivals::default(), Rc::new(|_, _, _| Box::pin(async {})));
     let (edge_end, core_end) = duplex(1 << 16);
     tokio::task::spawn_local(core_machine(core_end, fresh, stale));
-    let (read, write) = split(edge_end);
+    let (reader, writer) = split(edge_end);
     let started = Instant::now();
     let mut cores = Vec::new();
-    let reason = listen(&edge, read, write, &mut cores).await;
+    let reason = listen(&edge, reader, writer, &mut cores).await;
     (started.elapsed(), reason)
 }
 
 #[test]
 fn silent_core_machine_is_abandoned() {
     run(async {
-        let (after, reason) = listen_duration(5, 0).await;
+        let (elapsed, reason) = listen_duration(5, 0).await;
         assert_eq!(reason, "silent");
         // The last pulse was sent after four intervals.
-        let silence = after - PULSE_INTERVAL * 4;
+        let silence = elapsed - PULSE_INTERVAL * 4;
         assert!(silence <= Duration::from_millis(1_000), "after {silence:?}");
         assert!(
             silence >= Duration::from_millis(800),
@@ -58,9 +58,9 @@
 #[test]
 fn core_machine_without_leader_contact_is_abandoned() {
     run(async {
-        let (after, reason) = listen_duration(5, 100).await;
+        let (elapsed, reason) = listen_duration(5, 100).await;
         assert!(reason.contains("lost contact with its leader"), "{reason}");
-        let stale = after - PULSE_INTERVAL * 4;
+        let stale = elapsed - PULSE_INTERVAL * 4;
         assert!(stale <= Duration::from_millis(1_000), "after {stale:?}");
     });
 }
@@ -68,7 +68,7 @@
 #[test]
 fn active_core_machine_is_kept() {
     run(async {
-        let (after, _) = listen_duration(100, 0).await;
-        assert!(after >= PULSE_INTERVAL * 99, "left after {after:?}");
+        let (elapsed, _) = listen_duration(100, 0).await;
+        assert!(elapsed >= PULSE_INTERVAL * 99, "left after {elapsed:?}");
     });
 }
--- a/crates/edge-proxy/src/tests/guarantees.rs
+++ b/crates/edge-proxy/src/tests/guarantees.rs
@@ -37,8 +37,9 @@
 }
 
 pub(super) fn header_field(head: &str, name: &str) -> Option<String> {
-    let found =
-        head.lines().find_map(|line| line.split_once(": ").filter(|it| it.0.eq_ignore_ascii_case(name)));
+    let found = head
+        .lines()
+        .find_map(|line| line.split_once(": ").filter(|field| field.0.eq_ignore_ascii_case(name)));
     found.map(|(_, value)| value.to_owned())
 }
 
@@ -191,7 +192,8 @@
                     tokio::time::sleep(ms(300)).await;
                     let rejection =
                         "HTTP/1.1 503 Busy\r\nX-Milletwing-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
-                    let _ = stream.write_all(rejection.as_bytes()).await; // the edge may have closed the connection
+                    // The edge may have closed the connection.
+                    let _ = stream.write_all(rejection.as_bytes()).await;
                     tokio::time::sleep(ms(60_000)).await;
                 })
             }),
@@ -237,8 +239,9 @@
         let mut client =
             send_head(&edge, NON_IDEMPOTENT, 4_000, &format!("Content-Length: {LENGTH}\r\n")).await;
         client.write_all(&vec![b'x'; LENGTH / 2]).await.unwrap();
-        let early = read_head(&mut client).await.expect("the response arrives before the end of the body");
-        assert!(early.starts_with("HTTP/1.1 200"), "{early}");
+        let early_response =
+            read_head(&mut client).await.expect("the response arrives before the end of the body");
+        assert!(early_response.starts_with("HTTP/1.1 200"), "{early_response}");
         // Other requests arrive in the meantime, and then the rest of the body.
         for id in ["b", "c"] {
             assert!(is_own_response(&send_request(&edge, NON_IDEMPOTENT, id).await, id));
@@ -400,6 +403,6 @@
         let mut body = [0; 5];
         client.read_exact(&mut body).await.unwrap();
         assert_eq!(&body, b"hello");
-        assert_eq!(client.read(&mut body).await.unwrap(), 0, "then the connection closes");
+        assert_eq!(client.read(&mut body).await.unwrap(), 0, "the connection closes after the response");
     });
 }
--- a/crates/edge-proxy/src/tests/responses.rs
+++ b/crates/edge-proxy/src/tests/responses.rs
@@ -54,7 +54,8 @@
         assert!(read_head(&mut client).await.is_some());
         let mut bytes = Vec::new();
         let reading = tokio::time::timeout(ms(60_000), client.read_to_end(&mut bytes));
-        let _ = reading.await.expect("the response is held open"); // reset or closed: only the length of the body matters
+        // Reset or closed: only the length of the body matters.
+        let _ = reading.await.expect("the response is held open");
         assert!(bytes.len() < LENGTH, "{}", bytes.len());
         assert!(started.elapsed() >= ms(10_000) && started.elapsed() < ms(10_200), "{:?}", started.elapsed());
     });
--- a/crates/edge-proxy/src/tests/shutdown.rs
+++ b/crates/edge-proxy/src/tests/shutdown.rs
@@ -51,6 +51,6 @@
             "the marshal got most of the available time: {}",
             given_ms.get()
         );
-        assert_eq!(client.read(&mut [0; 8]).await.unwrap(), 0, "then the connection closes");
+        assert_eq!(client.read(&mut [0; 8]).await.unwrap(), 0, "the connection closes after the response");
     });
 }
--- a/crates/edge-proxy/src/tests/tenants.rs
+++ b/crates/edge-proxy/src/tests/tenants.rs
@@ -56,7 +56,7 @@
         });
         Box::pin(async move { Ok(Box::new(edge_end) as Box<dyn crate::pool::Transport>) })
     });
-    let nodes = (0..4).map(|at| node(at, if at < 2 { "a" } else { "b" }));
+    let nodes = (0..4).map(|index| node(index, if index < 2 { "a" } else { "b" }));
     (configured_edge(SETTINGS, CONFIGURATION, nodes, connector), heads)
 }
 
@@ -101,7 +101,10 @@
 
 /// All values of a header field in a head.
 fn fields<'a>(head: &'a str, name: &str) -> Vec<&'a str> {
-    head.lines().filter_map(|line| line.split_once(": ").filter(|it| it.0 == name)).map(|it| it.1).collect()
+    head.lines()
+        .filter_map(|line| line.split_once(": ").filter(|field| field.0 == name))
+        .map(|field| field.1)
+        .collect()
 }
 
 #[test]
--- a/crates/edge-proxy/src/tests/uploads.rs
+++ b/crates/edge-proxy/src/tests/uploads.rs
@@ -10,16 +10,16 @@
 use tokio::time::Instant;
 
 const LENGTH: usize = 60_000;
-/// The time that the client of an upload gives, and a pause that is longer than a connection may be
-/// idle but shorter than that time; both in milliseconds.
+/// Time that the client of an upload allows for the request.
 const REMAINING_MS: u64 = 4_000;
+/// A pause that is longer than a connection may be idle, and shorter than the time of the request.
 const PAUSE_MS: u64 = 3_500;
 
 /// What a marshal has received of an upload: the bytes, and when the connection ended.
 #[derive(Default)]
 struct ReceivedUpload {
     bytes: RefCell<Vec<u8>>,
-    ended: Cell<Option<Instant>>,
+    ended_at: Cell<Option<Instant>>,
 }
 
 /// A marshal that responds before it reads the body.
@@ -31,7 +31,7 @@
     while let Ok(count @ 1..) = stream.read(&mut bytes).await {
         upload.bytes.borrow_mut().extend(&bytes[..count]);
     }
-    upload.ended.set(Some(Instant::now()));
+    upload.ended_at.set(Some(Instant::now()));
 }
 
 /// Sends half of a body and reads the early response. Returns the client's end of the connection
@@ -44,14 +44,15 @@
         tokio::task::spawn_local(respond_then_read(marshal_end, Rc::clone(&recorded)));
         Box::pin(async move { Ok(Box::new(edge_end) as Box<dyn Transport>) })
     });
-    let body =
+    let configuration =
         CONFIGURATION.replace(r#""headerGuardS":3,"idleGuardS":15"#, r#""headerGuardS":1,"idleGuardS":1"#);
-    let edge = configured_edge(SETTINGS, &body, std::iter::once(node(0, "a")), connector);
+    let edge = configured_edge(SETTINGS, &configuration, std::iter::once(node(0, "a")), connector);
     let length = format!("Content-Length: {LENGTH}\r\n");
     let mut client = send_head(&edge, NON_IDEMPOTENT, REMAINING_MS, &length).await;
     client.write_all(&vec![b'x'; LENGTH / 2]).await.unwrap();
-    let early = read_head(&mut client).await.expect("the response arrives before the end of the body");
-    assert!(early.starts_with("HTTP/1.1 200"), "{early}");
+    let early_response =
+        read_head(&mut client).await.expect("the response arrives before the end of the body");
+    assert!(early_response.starts_with("HTTP/1.1 200"), "{early_response}");
     (client, upload)
 }
 
@@ -75,8 +76,8 @@
         let started = Instant::now();
         let (_client, upload) = start_upload().await;
         tokio::time::sleep(ms(2 * REMAINING_MS)).await;
-        let ended = upload.ended.get().expect("the connection to the marshal ends") - started;
-        assert!(ended >= ms(REMAINING_MS) && ended < ms(REMAINING_MS + 100), "{ended:?}");
+        let elapsed = upload.ended_at.get().expect("the connection to the marshal ends") - started;
+        assert!(elapsed >= ms(REMAINING_MS) && elapsed < ms(REMAINING_MS + 100), "{elapsed:?}");
         assert_eq!(upload.bytes.borrow().len(), LENGTH / 2);
     });
 }
@@ -86,7 +87,7 @@
 #[test]
 fn body_text_is_not_parsed_as_header_fields() {
     run(async {
-        let serve: Rc<super::MarshalStub> = Rc::new(|_, mut stream, _| {
+        let marshal: Rc<super::MarshalStub> = Rc::new(|_, mut stream, _| {
             Box::pin(async move {
                 let Some(head) = read_head(&mut stream).await else { return };
                 let id = header_field(&head, "x-milletwing-attempt-id").unwrap();
@@ -94,7 +95,7 @@
                 let _ = stream.read(&mut [0; 4_096]).await;
             })
         });
-        let edge = super::edge(1, &super::Arrivals::default(), serve);
+        let edge = super::edge(1, &super::Arrivals::default(), marshal);
         let fields = "Transfer-Encoding: chunked\r\nX-Decoded-Content-Length: 20\r\n";
         let mut client = send_head(&edge, NON_IDEMPOTENT, REMAINING_MS, fields).await;
         client.write_all(b"14\r\nContent-Length: text\r\n0\r\n\r\n").await.unwrap();
--- a/crates/edge-proxy/src/user_timeout/tests.rs
+++ b/crates/edge-proxy/src/user_timeout/tests.rs
@@ -79,7 +79,7 @@
 #[tokio::test]
 async fn reads_are_limited_in_size() {
     let (mut stream, _, mut peer) = connected().await;
-    let sent: Vec<u8> = (0..LARGE).map(|at| at as u8).collect();
+    let sent: Vec<u8> = (0..LARGE).map(|index| index as u8).collect();
     let all_bytes = sent.clone();
     let writer = tokio::spawn(async move { peer.write_all(&all_bytes).await });
     let (mut received, mut buffer) = (Vec::new(), vec![0; LARGE]);
