--- a/crates/edge-proxy/src/tests.rs
+++ b/crates/edge-proxy/src/tests.rs
@@ -347,7 +347,7 @@
                         // one, and close.
                         let Some(id) = read_request(&mut stream).await else { return };
                         arrivals.record(id.clone());
-                        // If the write fails, the assertions below fail.
+                        // If the write fails, the reads below fail as well.
                         let _ = stream.write_all(ok_response(&id).as_bytes()).await;
                         if connection > 2 {
                             return serve_requests(stream, arrivals, |_, id| {
