--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -13,7 +13,7 @@
 const PATIENCE: Duration = Duration::from_secs(5);
 
 /// A call, and where its answer goes.
-pub type Asked<C> = (C, Sender<Result<Value, String>>);
+pub type PendingCall<C> = (C, Sender<Result<Value, String>>);
 
 fn line(stream: &TcpStream) -> io::Result<String> {
     let mut line = String::new();
@@ -24,7 +24,7 @@
 /// Takes calls, one connection at a time; `gone` is answered once nobody takes them any more.
 pub fn listen<C: DeserializeOwned + Send + 'static>(
     at: SocketAddr,
-    calls: Sender<Asked<C>>,
+    calls: Sender<PendingCall<C>>,
     gone: &'static str,
 ) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(at)?;
@@ -40,7 +40,11 @@
     Ok(at)
 }
 
-fn answer<C: DeserializeOwned>(stream: &TcpStream, calls: &Sender<Asked<C>>, gone: &str) -> io::Result<()> {
+fn answer<C: DeserializeOwned>(
+    stream: &TcpStream,
+    calls: &Sender<PendingCall<C>>,
+    gone: &str,
+) -> io::Result<()> {
     stream.set_read_timeout(Some(PATIENCE))?;
     stream.set_write_timeout(Some(PATIENCE))?;
     let told = match serde_json::from_str::<C>(&line(stream)?) {
@@ -81,7 +85,7 @@
 }
 
 /// The line of a file on which a field first stands, from 1, for errors; 1 where it doesn't.
-pub fn line_of(text: &str, field: &str) -> usize {
+pub fn field_line_number(text: &str, field: &str) -> usize {
     let stands = |line: &str| {
         let line = line.trim_start().trim_start_matches(['"', '\'']);
         let rest = line.strip_prefix(field).map(|rest| rest.trim_start_matches(['"', '\'']).trim_start());
--- a/crates/group-server/src/node.rs
+++ b/crates/group-server/src/node.rs
@@ -8,7 +8,7 @@
 use crate::store::Store;
 use crossbeam_channel::{bounded, never, select, tick, Receiver, Sender};
 use hdrhistogram::Histogram;
-use milletwing_admin::Asked;
+use milletwing_admin::PendingCall;
 use milletwing_decision::interface::{
     Build, Event, Evidence, GroupMessage, Outcome, Phase, Settings as Decisions, StageReport, Vote,
 };
@@ -229,7 +229,7 @@
         mut self,
         arrived: &Receiver<Arrived>,
         heard: &Receiver<Word>,
-        asked: &Receiver<Asked<Call>>,
+        asked: &Receiver<PendingCall<Call>>,
         over: &AtomicBool,
     ) {
         let work = std::panic::AssertUnwindSafe(|| self.work(arrived, heard, asked));
@@ -256,7 +256,7 @@
         &mut self,
         arrived: &Receiver<Arrived>,
         heard: &Receiver<Word>,
-        asked: &Receiver<Asked<Call>>,
+        asked: &Receiver<PendingCall<Call>>,
     ) -> Result<(), String> {
         let ticks = tick(Duration::from_millis((self.settings.tick_ms / 2).max(1)));
         let never = never();
--- a/crates/group-server/src/settings.rs
+++ b/crates/group-server/src/settings.rs
@@ -1,6 +1,6 @@
 //! The operator's file: JSON5, every field checked, errors naming the field and its line.
 
-use milletwing_admin::line_of;
+use milletwing_admin::field_line_number;
 use milletwing_group::MemberId;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -124,7 +124,8 @@
     /// Reads the text; `secret` reads the file that it names.
     pub fn read(text: &str, secret: impl Fn(&str) -> Result<Vec<u8>, String>) -> Result<Settings, String> {
         let raw: Text = json5::from_str(text).map_err(|problem| problem.to_string().replace('\n', " "))?;
-        let wrong = |field: &str, why: String| format!("line {}: {field}: {why}", line_of(text, field));
+        let wrong =
+            |field: &str, why: String| format!("line {}: {field}: {why}", field_line_number(text, field));
         let address = |field: &str, word: &str| -> Result<SocketAddr, String> {
             word.parse()
                 .map_err(|_| wrong(field, format!("`{}` is no address and port", word.escape_debug())))
--- a/crates/processor-server/src/settings.rs
+++ b/crates/processor-server/src/settings.rs
@@ -1,6 +1,6 @@
 //! The operator's file: JSON5, every field checked, errors naming the field and its line.
 
-use milletwing_admin::line_of;
+use milletwing_admin::field_line_number;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -56,7 +56,8 @@
     /// Reads the text.
     pub fn read(text: &str) -> Result<Settings, String> {
         let raw: Text = json5::from_str(text).map_err(|problem| problem.to_string().replace('\n', " "))?;
-        let wrong = |field: &str, why: String| format!("line {}: {field}: {why}", line_of(text, field));
+        let wrong =
+            |field: &str, why: String| format!("line {}: {field}: {why}", field_line_number(text, field));
         let listen: SocketAddr = raw.listen.parse().map_err(|_| {
             wrong("listen", format!("`{}` is no address and port", raw.listen.escape_debug()))
         })?;
--- a/crates/releases-server/src/host.rs
+++ b/crates/releases-server/src/host.rs
@@ -4,7 +4,7 @@
 use crate::journal::{Added, Journal};
 use crate::settings::{exemption, freeze, ExemptionText, FreezeText, Settings};
 use crossbeam_channel::{bounded, never, select, tick, Receiver, Sender};
-use milletwing_admin::Asked;
+use milletwing_admin::PendingCall;
 use milletwing_decision::interface::{
     Build, Event, Ms, PermitTable, Phase as Told, Settings as Decisions, StageReport, TenantId, Vote, ZoneId,
 };
@@ -275,7 +275,7 @@
         Now { wall: wall(), steady: self.base.0 + self.base.1.elapsed().as_secs() as i64 }
     }
 
-    fn run(&mut self, heard: &Receiver<Word>, asked: &Receiver<Asked<Call>>) -> Result<(), String> {
+    fn run(&mut self, heard: &Receiver<Word>, asked: &Receiver<PendingCall<Call>>) -> Result<(), String> {
         let looks = tick(LOOK);
         let told = match &self.kept {
             Kept::Own(_) => never(),
--- a/crates/releases-server/src/settings.rs
+++ b/crates/releases-server/src/settings.rs
@@ -2,7 +2,7 @@
 
 use jiff::civil::DateTime;
 use jiff::tz::TimeZone;
-use milletwing_admin::line_of;
+use milletwing_admin::field_line_number;
 use milletwing_releases::calendar::{moment, Exemption, Freeze, Mode, Scope, Span};
 use milletwing_releases::model::{Budgets, Edition, Model, Need, Plan, Reach};
 use serde::{Deserialize, Serialize};
@@ -225,7 +225,8 @@
     /// Reads the text.
     pub fn read(text: &str) -> Result<Settings, String> {
         let raw: Text = json5::from_str(text).map_err(|problem| problem.to_string().replace('\n', " "))?;
-        let wrong = |field: &str, why: String| format!("line {}: {field}: {why}", line_of(text, field));
+        let wrong =
+            |field: &str, why: String| format!("line {}: {field}: {why}", field_line_number(text, field));
         let zone = TimeZone::get(&raw.time_zone)
             .map_err(|_| wrong("time_zone", format!("`{}` is no time zone", raw.time_zone.escape_debug())))?;
         let admin: SocketAddr = raw
