--- a/crates/system/src/calls.rs
+++ b/crates/system/src/calls.rs
@@ -1,4 +1,4 @@
-//! Operators' calls to the core.
+//! Operators' calls to the HTTP interface of the core.
 
 use bytes::Bytes;
 use clap::ArgMatches;
@@ -9,68 +9,80 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-fn word<'a>(given: &'a ArgMatches, name: &str) -> &'a str {
-    given.get_one::<String>(name).map_or("", String::as_str)
+fn argument<'a>(matches: &'a ArgMatches, name: &str) -> &'a str {
+    matches.get_one::<String>(name).map_or("", String::as_str)
 }
 
-/// Makes a call and prints its answer. Anything but a 2xx is an error, with the core's reason.
-pub async fn call(name: &str, given: &ArgMatches) -> Result<(), String> {
-    let (method, path, if_match, body) = match (name, given.subcommand()) {
-        ("configuration", Some(("check", given))) => {
-            let path = word(given, "file");
-            let bytes = std::fs::read(path).map_err(|problem| format!("{path}: {problem}"))?;
-            let read = Configuration::parse(&bytes).map_err(|kind| kind.to_string())?;
+/// Makes the call `name` and prints the response's body. A status other than 2xx is an error that
+/// carries the core's reason.
+pub async fn call(name: &str, matches: &ArgMatches) -> Result<(), String> {
+    let (method, path, if_match, body) = match (name, matches.subcommand()) {
+        ("configuration", Some(("check", matches))) => {
+            let path = argument(matches, "file");
+            let bytes = std::fs::read(path).map_err(|error| format!("{path}: {error}"))?;
+            let configuration = Configuration::parse(&bytes).map_err(|kind| kind.to_string())?;
             println!(
                 "revision {}: {} routes, {} services",
-                read.revision,
-                read.routing.len(),
-                read.targets.len()
+                configuration.revision,
+                configuration.routing.len(),
+                configuration.targets.len()
             );
             return Ok(());
         }
-        ("configuration", Some(("get", given))) => {
-            return speak(given, "GET", "/milletwing/configuration", None, Vec::new()).await;
+        ("configuration", Some(("get", matches))) => {
+            return request_and_print(matches, "GET", "/milletwing/configuration", None, Vec::new()).await;
         }
-        ("configuration", Some(("put", given))) => {
-            let path = word(given, "file");
-            let bytes = std::fs::read(path).map_err(|problem| format!("{path}: {problem}"))?;
-            return speak(given, "PUT", "/milletwing/configuration", Some(word(given, "on")), bytes).await;
+        ("configuration", Some(("put", matches))) => {
+            let path = argument(matches, "file");
+            let bytes = std::fs::read(path).map_err(|error| format!("{path}: {error}"))?;
+            return request_and_print(
+                matches,
+                "PUT",
+                "/milletwing/configuration",
+                Some(argument(matches, "on")),
+                bytes,
+            )
+            .await;
         }
-        ("rollout", _) => match given.get_one::<String>("to") {
-            None => ("GET", format!("/milletwing/rollouts/{}", word(given, "service")), None, Vec::new()),
-            Some(to) => {
-                let period: f64 =
-                    word(given, "period").parse().map_err(|_| "--period: a number of seconds is wanted")?;
+        ("rollout", _) => match matches.get_one::<String>("to") {
+            None => {
+                ("GET", format!("/milletwing/rollouts/{}", argument(matches, "service")), None, Vec::new())
+            }
+            Some(revision) => {
+                let period: f64 = argument(matches, "period")
+                    .parse()
+                    .map_err(|_| "--period: expected a number of seconds")?;
                 let body = serde_json::json!({
-                    "target": word(given, "service"), "targetRevision": to, "periodS": period});
+                    "target": argument(matches, "service"), "targetRevision": revision, "periodS": period});
                 ("POST", "/milletwing/rollouts".into(), None, body.to_string().into_bytes())
             }
         },
         ("evacuate", _) => {
-            let method = if given.get_flag("back") { "DELETE" } else { "POST" };
-            (method, format!("/milletwing/evacuation/{}", word(given, "zone")), None, Vec::new())
+            let method = if matches.get_flag("back") { "DELETE" } else { "POST" };
+            (method, format!("/milletwing/evacuation/{}", argument(matches, "zone")), None, Vec::new())
         }
         ("trial", _) => ("GET", "/milletwing/trials".into(), None, Vec::new()),
         ("nodes", _) => ("GET", "/milletwing/nodes".into(), None, Vec::new()),
         ("members", _) => ("GET", "/milletwing/members".into(), None, Vec::new()),
-        _ => return Err(format!("no call {name}")),
+        _ => return Err(format!("unknown call {name}")),
     };
-    speak(given, method, &path, if_match, body).await
+    request_and_print(matches, method, &path, if_match, body).await
 }
 
-async fn speak(
-    given: &ArgMatches,
+async fn request_and_print(
+    matches: &ArgMatches,
     method: &str,
     path: &str,
     if_match: Option<&str>,
     body: Vec<u8>,
 ) -> Result<(), String> {
-    println!("{}", follow(word(given, "core"), method, path, if_match, body).await?);
+    println!("{}", request(argument(matches, "core"), method, path, if_match, body).await?);
     Ok(())
 }
 
-/// A call that goes where it is sent on to. Gives the answer's text.
-pub async fn follow(
+/// Sends a request to the machine at `core`, follows redirects to other machines of the core, and
+/// returns the body of the response.
+pub async fn request(
     core: &str,
     method: &str,
     path: &str,
@@ -78,49 +90,52 @@
     body: Vec<u8>,
 ) -> Result<String, String> {
     let mut core = core.to_owned();
-    // Two machines further at most, as all callers of the core go.
+    // Follows at most two redirects, as all clients of the core do.
     for _ in 0..3 {
-        match once(&core, method, path, if_match, &body).await? {
+        match request_once(&core, method, path, if_match, &body).await? {
             Ok(text) => return Ok(text),
-            Err(further) => core = further,
+            Err(redirect) => core = redirect,
         }
     }
-    Err(format!("{core}: sent on too often"))
+    Err(format!("{core}: too many redirects"))
 }
 
-/// One call. Gives the answer's text, or the machine that it was sent on to.
-async fn once(
+/// Sends a request to one machine. The inner result is the body of a successful response, or the
+/// address of the machine that the request was redirected to.
+async fn request_once(
     core: &str,
     method: &str,
     path: &str,
     if_match: Option<&str>,
     body: &[u8],
 ) -> Result<Result<String, String>, String> {
-    let whole = async {
-        let stream = TcpStream::connect(core).await.map_err(|problem| problem.to_string())?;
+    let exchange = async {
+        let stream = TcpStream::connect(core).await.map_err(|error| error.to_string())?;
         let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|problem| problem.to_string())?;
+            .map_err(|error| error.to_string())?;
         tokio::task::spawn_local(connection);
         let mut request = Request::builder().method(method).uri(path).header("host", core);
         if let Some(if_match) = if_match {
             request = request.header("if-match", if_match);
         }
         let request =
-            request.body(Full::new(Bytes::copy_from_slice(body))).map_err(|problem| problem.to_string())?;
-        let answer = sender.send_request(request).await.map_err(|problem| problem.to_string())?;
-        let status = answer.status();
-        let place = answer.headers().get("location").and_then(|place| place.to_str().ok()).map(str::to_owned);
-        let bytes = answer.into_body().collect().await.map_err(|problem| problem.to_string())?.to_bytes();
-        Ok::<_, String>((status, place, bytes))
+            request.body(Full::new(Bytes::copy_from_slice(body))).map_err(|error| error.to_string())?;
+        let response = sender.send_request(request).await.map_err(|error| error.to_string())?;
+        let status = response.status();
+        let location =
+            response.headers().get("location").and_then(|value| value.to_str().ok()).map(str::to_owned);
+        let bytes = response.into_body().collect().await.map_err(|error| error.to_string())?.to_bytes();
+        Ok::<_, String>((status, location, bytes))
     };
-    let answer = tokio::time::timeout(Duration::from_secs(10), whole).await;
-    let answer = answer.map_err(|_| "no answer in 10 s".to_owned()).and_then(|it| it);
-    let (status, place, bytes) = answer.map_err(|problem| format!("{core}: {problem}"))?;
-    let further = place.as_deref().and_then(|place| place.strip_prefix("http://")?.split('/').next());
+    let response = tokio::time::timeout(Duration::from_secs(10), exchange).await;
+    let response = response.map_err(|_| "no response within 10 s".to_owned()).and_then(|result| result);
+    let (status, location, bytes) = response.map_err(|error| format!("{core}: {error}"))?;
+    let redirect =
+        location.as_deref().and_then(|location| location.strip_prefix("http://")?.split('/').next());
     let text = String::from_utf8_lossy(&bytes).into_owned();
-    match further {
-        Some(further) if status.as_u16() == 307 => Ok(Err(further.to_owned())),
+    match redirect {
+        Some(redirect) if status.as_u16() == 307 => Ok(Err(redirect.to_owned())),
         _ if status.is_success() => Ok(Ok(text)),
         _ => Err(format!("{core}: {status}: {text}")),
     }
--- a/crates/system/src/deploy.rs
+++ b/crates/system/src/deploy.rs
@@ -1,4 +1,4 @@
-//! Checks a deploy file as the platform reads it.
+//! Checks a deploy file by the rules that the platform reads it with.
 
 use milletwing_metrics::Endpoint;
 use serde::Deserialize;
@@ -6,6 +6,7 @@
 
 #[derive(Deserialize)]
 struct Deploy {
+    /// The build command.
     build: String,
     roles: BTreeMap<String, Role>,
     /// System packages that a clean build needs.
@@ -15,53 +16,64 @@
 
 #[derive(Deserialize)]
 struct Role {
+    /// The command that the role's machines run.
     run: String,
+    /// The kind of machine that the role runs on.
     on: String,
+    /// Fraction of these machines that run the role. Either this or `count` is set.
     share: Option<f64>,
+    /// Number of these machines that run the role.
     count: Option<u32>,
+    /// The planes that the role serves: edge, control, directory.
     #[serde(default)]
     serves: Vec<String>,
     metrics: Option<String>,
 }
 
-/// Says what the file starts where, or which line is wrong.
+/// Returns a summary with a line for each role, or a message that names the invalid part of the
+/// file.
 pub fn check(text: &str) -> Result<String, String> {
-    let deploy: Deploy = toml::from_str(text).map_err(|problem| problem.to_string())?;
+    let deploy: Deploy = toml::from_str(text).map_err(|error| error.to_string())?;
     if deploy.build.trim().is_empty() || deploy.roles.is_empty() {
-        return Err("build and at least one role are wanted".into());
+        return Err("build and at least one role are required".into());
     }
     if let Some(package) = deploy.packages.iter().find(|name| name.trim().is_empty()) {
-        return Err(format!("packages: {package:?} names none"));
+        return Err(format!("packages: {package:?} is a blank name"));
     }
     let mut served = BTreeSet::new();
-    let mut said = Vec::new();
+    let mut summary = Vec::new();
     for (name, role) in &deploy.roles {
-        let wrong = |what: &str| Err(format!("roles.{name}: {what}"));
+        let invalid = |reason: &str| Err(format!("roles.{name}: {reason}"));
         if role.run.split_whitespace().next().is_none() {
-            return wrong("run names no program");
+            return invalid("run names no program");
         }
         match (role.share, role.count) {
             (Some(share), None) if share > 0.0 && share <= 1.0 => {}
             (None, Some(1..)) => {}
-            _ => return wrong("either share (more than 0, at most 1) or count (1 or more) is wanted"),
+            _ => return invalid("either share (more than 0, at most 1) or count (1 or more) is required"),
         }
-        if let Some(problem) = role.metrics.as_ref().and_then(|text| text.parse::<Endpoint>().err()) {
-            return wrong(&format!("metrics: {problem}"));
+        if let Some(error) = role.metrics.as_ref().and_then(|text| text.parse::<Endpoint>().err()) {
+            return invalid(&format!("metrics: {error}"));
         }
         for plane in &role.serves {
             if !["edge", "control", "directory"].contains(&plane.as_str()) {
-                return wrong(&format!("serves {plane}, which is none of edge, control, directory"));
+                return invalid(&format!("serves {plane}, which is none of edge, control, directory"));
             }
             if !served.insert((role.on.clone(), plane.clone())) {
-                return wrong(&format!("another role serves {plane} on {} as well", role.on));
+                return invalid(&format!("another role already serves {plane} on {}", role.on));
             }
         }
-        said.push(format!("{name}: {} on {} machines, serves {}", role.run, role.on, role.serves.join(", ")));
+        summary.push(format!(
+            "{name}: {} on {} machines, serves {}",
+            role.run,
+            role.on,
+            role.serves.join(", ")
+        ));
     }
     for plane in ["edge", "control", "directory"] {
-        if !served.iter().any(|(_, it)| it == plane) {
+        if !served.iter().any(|(_, served_plane)| served_plane == plane) {
             return Err(format!("no role serves {plane}"));
         }
     }
-    Ok(said.join("\n"))
+    Ok(summary.join("\n"))
 }
