--- a/crates/system/tests/soak.rs
+++ b/crates/system/tests/soak.rs
@@ -1,15 +1,16 @@
-//! A short soak of the real programs: see `milletwing_trials::soak`. More by hand: `SOAK_SEEDS=50 cargo test --release -p
-//! milletwing-system --test soak -- --nocapture`, or `milletwing-trials soak --help`.
+//! A short soak test of the real programs; see `milletwing_trials::soak`. For a longer one, run
+//! `SOAK_SEEDS=50 cargo test --release -p milletwing-system --test soak -- --nocapture`, or see
+//! `milletwing-trials soak --help`.
 
 use milletwing_trials::soak::{run, Options};
 
 #[test]
-fn signals_restarts_and_changes_that_overlap_break_nothing() {
-    let number = |name: &str, default: u64| {
+fn overlapping_signals_restarts_and_changes_violate_no_invariant() {
+    let setting = |name: &str, default: u64| {
         std::env::var(name).map_or(default, |text| text.parse().unwrap_or_else(|_| panic!("{name}: {text}")))
     };
-    let first = number("SOAK_SEED", 1);
-    for seed in first..first + number("SOAK_SEEDS", 3) {
+    let first_seed = setting("SOAK_SEED", 1);
+    for seed in first_seed..first_seed + setting("SOAK_SEEDS", 3) {
         let options = Options {
             program: env!("CARGO_BIN_EXE_milletwing-system").into(),
             seed,
@@ -23,7 +24,7 @@
         println!("{}", serde_json::to_string(&report).unwrap());
         assert!(
             report.broken.is_empty(),
-            "again: SOAK_SEED={seed} SOAK_SEEDS=1; {:#?} {:?}",
+            "to repeat: SOAK_SEED={seed} SOAK_SEEDS=1; {:#?} {:?}",
             report.broken,
             report.logs
         );
