--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,8 +1,10 @@
-//! Agreement among the core's machines, without I/O: messages and the time go in; what must be on disk and what is to
-//! be sent come out. The driver writes a [`Batch`] and syncs it before any message that came with it leaves.
+//! Raft-style consensus among the replicas of the control plane, without I/O: messages and the current time
+//! go in; data to persist and messages to send come out. The driver writes and syncs each [`Batch`] before it
+//! sends the messages that were returned with it.
 //!
-//! `log` holds the entries behind a snapshot and what the disk gives back, `member` one machine: terms, votes with a
-//! question beforehand, commit by majority, reads confirmed by a round of the members, and a machine that lost its disk.
+//! [`log`] holds a snapshot, the entries after it and their encoding on disk. [`member`] implements one
+//! replica: terms, elections with a pre-vote, commit by majority, reads confirmed by a round of messages to
+//! the members, and the recovery of a replica whose disk was lost.
 
 pub mod log;
 pub mod member;
@@ -10,9 +12,10 @@
 pub use log::{Batch, Entry, Payload, StoredState};
 pub use member::{inspect, Inspection, Member, Message, Options, Ready, Retirement, Role, StateIntegrity};
 
-/// A machine of the core: its IPv4 address as a number. Never 0.
+/// Identifies a replica: its IPv4 address as a number. Never 0.
 pub type MemberId = u32;
-/// Milliseconds of a steady clock that is the driver's.
+/// Milliseconds on the driver's monotonic clock; also used for durations.
 pub type Millis = u64;
-/// Term, then index, of an entry: compared in this order, the later log is the greater.
+/// Term and index of an entry. Positions compare in this order, so that the more up-to-date log is the
+/// greater.
 pub type LogPosition = (u64, u64);
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,17 +1,18 @@
-//! The log in memory: a snapshot, and the entries behind it; and the bytes that stand for both on disk.
+//! The log in memory (a snapshot and the entries after it) and the encoding of both on disk.
 
 use crate::{LogPosition, MemberId};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// What must be on the disk before any message that depends on it leaves. Empty parts change nothing.
+/// Data that must be on disk before any message that depends on it is sent. Empty parts leave the disk
+/// unchanged.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Batch {
-    /// Term, vote and what else is promised.
+    /// The encoded hard state: term, vote and recovery state.
     pub hard_state: Option<Vec<u8>>,
-    /// Entries by index; whatever stands from the first one's index on is replaced.
+    /// Encoded entries with their indexes. They replace all stored entries from the first one's index on.
     pub entries: Vec<(u64, Vec<u8>)>,
-    /// A snapshot, and the first index that is kept behind it.
+    /// An encoded snapshot, and the first index of the entries that are kept with it.
     pub snapshot: Option<(Vec<u8>, u64)>,
 }
 
@@ -22,67 +23,68 @@
     }
 }
 
-/// What a store gives back at a start, in the bytes that it was given.
+/// What a store returns at startup, encoded as it was written.
 #[derive(Clone, Debug, Default)]
 pub struct StoredState {
-    /// Term, vote and what else is promised.
+    /// The hard state: term, vote and recovery state.
     pub hard_state: Option<Vec<u8>>,
-    /// Entries in the order of their index.
+    /// Entries in the order of their indexes.
     pub entries: Vec<Vec<u8>>,
-    /// The snapshot before them.
+    /// The snapshot that precedes the entries.
     pub snapshot: Option<Vec<u8>>,
 }
 
-/// What an entry is for.
+/// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Payload {
-    /// A new leader's first entry: with it, what earlier terms left behind is committed.
+    /// The first entry of a new leader. Committing it commits the entries of earlier terms.
     Noop,
-    /// The user's bytes.
+    /// Application data.
     Data(Vec<u8>),
-    /// Who votes from here on. It counts from the moment that it stands in a log.
+    /// The voting members from this entry on. It takes effect as soon as it is in a log, before it is
+    /// committed.
     Members(Vec<MemberId>),
 }
 
-/// An entry of the log.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The term of the leader that made it.
+    /// Term of the leader that created the entry.
     pub term: u64,
-    /// Its place, from 1.
+    /// Position in the log, starting at 1.
     pub index: u64,
-    /// What it is for.
+    /// Content of the entry.
     pub payload: Payload,
 }
 
 impl Entry {
-    /// About how many bytes it takes.
+    /// Approximate size in bytes.
     pub fn approximate_size(&self) -> usize {
-        const HEAD: usize = 32;
+        const OVERHEAD: usize = 32;
         match &self.payload {
-            Payload::Data(data) => data.len() + HEAD,
-            Payload::Noop | Payload::Members(_) => HEAD,
+            Payload::Data(data) => data.len() + OVERHEAD,
+            Payload::Noop | Payload::Members(_) => OVERHEAD,
         }
     }
 }
 
-/// What a snapshot stands for.
+/// The application state up to some entry, which stands in for the log up to there.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry that it holds.
+    /// Position of the last entry that the snapshot includes.
     pub last: LogPosition,
-    /// Who voted there.
+    /// The voting members at that position.
     pub members: Vec<MemberId>,
-    /// The user's state.
+    /// The application state.
     pub data: Vec<u8>,
 }
 
-/// Bytes of a plain value.
+/// Encodes a plain value.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    postcard::to_stdvec(value).unwrap_or_default() // plain values can't fail
+    postcard::to_stdvec(value).unwrap_or_default() // plain values always encode
 }
 
-/// A plain value from its bytes. The error names `what` was read.
+/// Decodes a plain value. `what` names the value in the error message.
 pub fn decode<'a, T: Deserialize<'a>>(what: &str, bytes: &'a [u8]) -> Result<T, String> {
     postcard::from_bytes(bytes).map_err(|problem| format!("{what}: {problem}"))
 }
@@ -90,17 +92,17 @@
 /// A snapshot and the entries after it.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
-    /// The state as of some entry, for those who lack what came before it.
+    /// The application state at some entry, for replicas that lack the entries before it.
     pub snapshot: Snapshot,
-    /// The entry before the first one kept.
+    /// Position of the entry before the first one kept.
     base: LogPosition,
     entries: VecDeque<Entry>,
-    /// About how many bytes the entries take.
+    /// Approximate size of the entries in bytes.
     bytes: usize,
 }
 
 impl Log {
-    /// From what a disk gave back. An error where it doesn't hold together.
+    /// Restores the log from disk. Fails if the stored data is malformed or inconsistent.
     pub fn load(stored: &StoredState) -> Result<Log, String> {
         let snapshot: Snapshot = match &stored.snapshot {
             Some(bytes) => decode("snapshot", bytes)?,
@@ -109,11 +111,11 @@
         let entries: VecDeque<Entry> =
             stored.entries.iter().map(|bytes| decode("entry", bytes)).collect::<Result<_, _>>()?;
         if !snapshot.is_valid() || !entries.iter().all(Entry::is_valid) {
-            return Err("a term or an index beyond any real one".into());
+            return Err("term or index out of range".into());
         }
-        let follows = entries.iter().zip(entries.iter().skip(1)).all(|(a, b)| a.index + 1 == b.index);
-        let reaches = entries.front().is_none_or(|first| first.index <= snapshot.last.1 + 1);
-        if !follows || !reaches {
+        let consecutive = entries.iter().zip(entries.iter().skip(1)).all(|(a, b)| a.index + 1 == b.index);
+        let adjoins_snapshot = entries.front().is_none_or(|first| first.index <= snapshot.last.1 + 1);
+        if !consecutive || !adjoins_snapshot {
             return Err(format!("entries do not follow the snapshot at {}", snapshot.last.1));
         }
         let mut log = Log { base: snapshot.last, snapshot, ..Log::default() };
@@ -122,22 +124,22 @@
         Ok(log)
     }
 
-    /// The last entry's mark.
+    /// Position of the last entry.
     pub fn last_position(&self) -> LogPosition {
         self.entries.back().map_or(self.base, |entry| (entry.term, entry.index))
     }
 
-    /// About how many bytes the entries take.
+    /// Approximate size of the entries in bytes.
     pub fn size_bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The first index that is kept as an entry.
+    /// Index of the first entry that is kept.
     pub fn first_index(&self) -> u64 {
         self.base.1 + 1
     }
 
-    /// The term of an entry; none where it isn't here any more, or not yet.
+    /// The term of an entry, or `None` if the entry was compacted away or does not exist yet.
     pub fn term(&self, index: u64) -> Option<u64> {
         if index == self.base.1 {
             return Some(self.base.0);
@@ -145,27 +147,27 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// An entry.
+    /// Returns the entry at an index, if it is kept.
     pub fn get(&self, index: u64) -> Option<&Entry> {
         self.entries.get(index.checked_sub(self.first_index())? as usize)
     }
 
-    /// Entries from an index on, until so many bytes of users' data are full: one at least.
-    pub fn entries_from(&self, index: u64, most: usize) -> Vec<Entry> {
-        let mut room = most;
+    /// Entries from an index on, up to `max_bytes` in total, but at least one if there is any.
+    pub fn entries_from(&self, index: u64, max_bytes: usize) -> Vec<Entry> {
+        let mut remaining = max_bytes;
         let mut out = Vec::new();
         for entry in self.entries.iter().skip(index.saturating_sub(self.first_index()) as usize) {
             let size = entry.approximate_size();
-            if size > room && !out.is_empty() {
+            if size > remaining && !out.is_empty() {
                 break;
             }
-            room = room.saturating_sub(size);
+            remaining = remaining.saturating_sub(size);
             out.push(entry.clone());
         }
         out
     }
 
-    /// Adds one entry; whatever stood from its index on is dropped.
+    /// Appends an entry, after dropping all entries from its index on.
     pub fn append(&mut self, entry: Entry) {
         let keep = entry.index.saturating_sub(self.first_index()) as usize;
         let dropped: usize =
@@ -175,7 +177,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Who votes, as of the last entry that says so.
+    /// The voting members, according to the latest membership entry.
     pub fn members(&self) -> Vec<MemberId> {
         let newest = self.entries.iter().rev().find_map(|entry| match &entry.payload {
             Payload::Members(members) => Some(members.clone()),
@@ -184,7 +186,7 @@
         newest.unwrap_or_else(|| self.snapshot.members.clone())
     }
 
-    /// Who voted as of an entry.
+    /// The voting members as of an entry.
     pub fn members_at(&self, index: u64) -> Vec<MemberId> {
         let newest =
             self.entries.iter().rev().skip_while(|entry| entry.index > index).find_map(|entry| match &entry
@@ -196,7 +198,7 @@
         newest.unwrap_or_else(|| self.snapshot.members.clone())
     }
 
-    /// Whether a change of members stands behind an index.
+    /// Whether the log has a membership change after an index.
     pub fn has_membership_change_after(&self, index: u64) -> bool {
         self.entries
             .iter()
@@ -205,14 +207,15 @@
             .any(|entry| matches!(entry.payload, Payload::Members(_)))
     }
 
-    /// Takes a snapshot in place of what it holds, and keeps so many entries behind it, and about so many bytes, for those a little
-    /// late. Gives the first index that the disk must keep.
-    pub fn compact(&mut self, snapshot: Snapshot, behind: u64, bytes: usize) -> u64 {
-        let (last, keep) = (snapshot.last.1, snapshot.last.1.saturating_sub(behind));
+    /// Replaces the stored snapshot, and drops entries that it includes: all but the last `behind` of them,
+    /// and more while the entries exceed `bytes`. The kept ones serve followers that are slightly behind.
+    /// Returns the first index that the disk must keep.
+    pub fn compact(&mut self, snapshot: Snapshot, keep_behind: u64, max_bytes: usize) -> u64 {
+        let (last, keep) = (snapshot.last.1, snapshot.last.1.saturating_sub(keep_behind));
         self.snapshot = snapshot;
-        let held =
-            |log: &Log, entry: &Entry| entry.index > last || (entry.index > keep && log.bytes <= bytes);
-        while self.entries.front().is_some_and(|entry| !held(self, entry)) {
+        let is_kept =
+            |log: &Log, entry: &Entry| entry.index > last || (entry.index > keep && log.bytes <= max_bytes);
+        while self.entries.front().is_some_and(|entry| !is_kept(self, entry)) {
             if let Some(entry) = self.entries.pop_front() {
                 self.bytes -= entry.approximate_size();
                 self.base = (entry.term, entry.index);
@@ -221,7 +224,7 @@
         self.first_index()
     }
 
-    /// Takes a leader's snapshot in place of all that stands.
+    /// Replaces the whole log by a snapshot from a leader.
     pub fn restore(&mut self, snapshot: Snapshot) {
         self.base = snapshot.last;
         self.entries.clear();
--- a/crates/consensus/src/member/disk.rs
+++ b/crates/consensus/src/member/disk.rs
@@ -1,19 +1,19 @@
-//! A disk that takes no writes for a while, full, hanging or failing. Nothing that depends on a write leaves: no vote, no
-//! acknowledgement that counts, no leadership. The machine goes on to follow its leader in memory, so that what needs no
-//! disk is served from a state that is not old.
+//! Operation while the disk accepts no writes because it is full, hangs or fails. Nothing that depends on a
+//! write is sent: the replica grants no votes, sends no acknowledgements that count, and does not lead. It
+//! keeps following its leader in memory, so that requests which need no disk are served from recent state.
 
 use super::{Member, Message, Role, StateIntegrity};
 use crate::{MemberId, Millis};
 
-/// Entries that wait for a disk at most; a leader's further ones are not taken, and come again.
-pub(super) const MOST_UNWRITTEN: usize = 4_096;
-/// Bytes of them.
-pub(super) const MOST_UNWRITTEN_BYTES: usize = 8 << 20;
+/// Maximum number of entries waiting for the disk. Further ones are ignored; the leader sends them again.
+pub(super) const MAX_UNWRITTEN_ENTRIES: usize = 4_096;
+/// Maximum total size of the entries waiting for the disk.
+pub(super) const MAX_UNWRITTEN_BYTES: usize = 8 << 20;
 
 impl Message {
-    /// What of a message may leave though nothing can be written: answers that count for nothing, refusals, and a leader's
-    /// word that it leaves. Everything else would promise.
-    fn take_immediate_messages(self) -> Option<Message> {
+    /// The form in which a message may be sent although nothing can be written: acknowledgements that do not
+    /// count, refusals, and a leader's request to take over. Any other message would promise something.
+    fn without_promises(self) -> Option<Message> {
         match self {
             Message::AppendResponse { term, accepted, match_index, round, .. } => {
                 Some(Message::AppendResponse { term, accepted, match_index, round, quorum_eligible: false })
@@ -21,12 +21,12 @@
             Message::SnapshotChunkResponse { term, last, received, round, .. } => {
                 Some(Message::SnapshotChunkResponse { term, last, received, round, quorum_eligible: false })
             }
-            refused @ Message::VoteResponse { granted: false, .. } => Some(refused),
-            unsure @ Message::StateReport {
+            refusal @ Message::VoteResponse { granted: false, .. } => Some(refusal),
+            uncertain @ Message::StateReport {
                 integrity: StateIntegrity::Unconfirmed | StateIntegrity::Lost,
                 ..
-            } => Some(unsure),
-            asked @ (Message::QueryState { .. } | Message::TransferLeadership { .. }) => Some(asked),
+            } => Some(uncertain),
+            request @ (Message::QueryState { .. } | Message::TransferLeadership { .. }) => Some(request),
             Message::RequestVote { .. }
             | Message::DistrustDisk { .. }
             | Message::VoteResponse { .. }
@@ -38,33 +38,35 @@
 }
 
 impl Member {
-    /// Hands a message to the driver: with the next batch, or at once where it promises nothing and nothing can be written.
+    /// Queues a message for the driver. It is sent with the next batch, or at once if nothing can be written
+    /// and the message promises nothing.
     pub(super) fn send(&mut self, to: MemberId, message: Message) {
         if !self.suspended {
-            self.out.push((to, message));
-        } else if let Some(message) = message.take_immediate_messages() {
-            self.unbound.push((to, message));
+            self.outbox.push((to, message));
+        } else if let Some(message) = message.without_promises() {
+            self.immediate_messages.push((to, message));
         }
     }
 
-    /// Writes fail or hang from now on, until the driver calls [`Member::saved`]. A leader steps down and hands over at once.
-    /// The driver keeps the batch that is out and tries it again; messages that came with a batch that failed are dropped.
+    /// Reports that writes fail or hang. This state lasts until the driver calls [`Member::on_persisted`]. A
+    /// leader steps down and transfers leadership at once. The driver keeps the pending batch and retries it;
+    /// messages that came with a batch that failed are dropped.
     pub fn suspend_writes(&mut self, now: Millis) {
         if self.suspended {
             return;
         }
-        let successor = self.successor();
-        let led = self.role == Role::Leader;
+        let successor = self.best_transferee();
+        let was_leader = self.role == Role::Leader;
         self.suspended = true;
-        // They depend on what is not on the disk.
-        self.out.clear();
-        if led {
+        // These messages depend on data that is not on disk.
+        self.outbox.clear();
+        if was_leader {
             if let Some(successor) = successor {
                 self.send(successor, Message::TransferLeadership { term: self.hard_state.term });
             }
         }
         if self.role != Role::Follower {
-            self.follow(now, self.hard_state.term, None);
+            self.become_follower(now, self.hard_state.term, None);
         }
     }
 
@@ -73,23 +75,24 @@
         self.suspended
     }
 
-    /// Messages that may leave while nothing can be written.
+    /// Takes the messages that may be sent while nothing can be written.
     pub fn take_immediate_messages(&mut self) -> Vec<(MemberId, Message)> {
-        std::mem::take(&mut self.unbound)
+        std::mem::take(&mut self.immediate_messages)
     }
 
-    /// Ends the suspension: what was out is on the disk. What came meanwhile goes with the next batch.
-    pub(super) fn resume(&mut self, now: Millis) {
+    /// Ends the suspension: the pending batch is on disk. What arrived in the meantime goes into the next
+    /// batch.
+    pub(super) fn resume_writes(&mut self, now: Millis) {
         if std::mem::take(&mut self.suspended) {
-            self.rest(now);
+            self.reset_deadline(now);
         }
     }
 
-    /// Whether so much waits for the disk that no more is taken.
-    pub(super) fn backlogged(&self) -> bool {
+    /// Whether so many entries wait for the disk that no more are accepted.
+    pub(super) fn write_backlog_full(&self) -> bool {
         self.suspended
-            && (self.fresh.len() >= MOST_UNWRITTEN
-                || self.fresh.iter().map(|entry| entry.approximate_size()).sum::<usize>()
-                    >= MOST_UNWRITTEN_BYTES)
+            && (self.unsaved_entries.len() >= MAX_UNWRITTEN_ENTRIES
+                || self.unsaved_entries.iter().map(|entry| entry.approximate_size()).sum::<usize>()
+                    >= MAX_UNWRITTEN_BYTES)
     }
 }
--- a/crates/consensus/src/member/inspection.rs
+++ b/crates/consensus/src/member/inspection.rs
@@ -1,49 +1,50 @@
-//! What a disk holds, read without taking part.
+//! Read-only inspection of the data on a replica's disk.
 
 use super::HardState;
 use crate::log::{decode, Entry, Log, StoredState};
 use crate::{LogPosition, MemberId};
 use serde::Serialize;
 
-/// What a stopped machine's disk holds, for operators.
+/// The data on the disk of a stopped replica, for operators.
 #[derive(Clone, Debug, Serialize)]
 pub struct Inspection {
-    /// The term.
+    /// The current term.
     pub term: u64,
-    /// Whom it voted in that term.
+    /// The candidate that the replica voted for in that term.
     pub vote: Option<MemberId>,
-    /// It lost its disk and does not count yet.
+    /// The replica lost its disk and has not recovered yet.
     pub lost: bool,
-    /// The snapshot.
+    /// Position of the snapshot.
     pub snapshot: LogPosition,
-    /// Who votes, as of the last entry.
+    /// The voting members as of the last entry.
     pub members: Vec<MemberId>,
-    /// The entries behind the snapshot.
+    /// The entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// The user's state in the snapshot.
+    /// The application state in the snapshot.
     #[serde(skip)]
     pub data: Vec<u8>,
 }
 
-pub(super) fn hard_state(stored: &StoredState) -> Result<Option<HardState>, String> {
-    let hard_state: Option<HardState> =
+/// Decodes the hard state, if there is any, and checks that it is plausible.
+pub(super) fn read_hard_state(stored: &StoredState) -> Result<Option<HardState>, String> {
+    let read_hard_state: Option<HardState> =
         stored.hard_state.as_deref().map(|bytes| decode("hard state", bytes)).transpose()?;
-    match hard_state {
-        Some(hard_state) if !hard_state.is_valid() => {
-            Err("hard state: a term or an index beyond any real one".into())
+    match read_hard_state {
+        Some(read_hard_state) if !read_hard_state.is_valid() => {
+            Err("hard state: term or index out of range".into())
         }
         sound => Ok(sound),
     }
 }
 
-/// Reads what a disk holds without taking part. Errors say what doesn't hold together.
+/// Decodes the data on a disk without starting a replica. Fails if the data is inconsistent.
 pub fn inspect(stored: &StoredState) -> Result<Inspection, String> {
     let log = Log::load(stored)?;
-    let hard_state = hard_state(stored)?.unwrap_or_default();
+    let read_hard_state = read_hard_state(stored)?.unwrap_or_default();
     Ok(Inspection {
-        term: hard_state.term,
-        vote: hard_state.vote,
-        lost: hard_state.lost,
+        term: read_hard_state.term,
+        vote: read_hard_state.voted_for,
+        lost: read_hard_state.disk_lost,
         snapshot: log.snapshot.last,
         members: log.members(),
         entries: log.entries_from(log.first_index(), usize::MAX),
--- a/crates/consensus/src/member/message.rs
+++ b/crates/consensus/src/member/message.rs
@@ -1,24 +1,27 @@
-//! What machines of the core say to each other.
+//! Messages between replicas.
 
 use crate::log::Entry;
 use crate::{LogPosition, MemberId};
 use serde::{Deserialize, Serialize};
 
-/// What machines of the core say to each other.
-#[allow(missing_docs)] // each variant's line says what its fields are
+/// A message from one replica to another.
+#[allow(missing_docs)] // the doc comment of each variant describes its fields
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Would you vote for me in this term? `early`: only a question, nothing is promised.
+    /// Requests a vote in a term. With `pre_vote` it only asks whether the vote would be granted, and the
+    /// answer promises nothing.
     RequestVote { term: u64, pre_vote: bool, last: LogPosition },
-    /// The answer.
+    /// Answers `RequestVote`.
     VoteResponse { term: u64, pre_vote: bool, granted: bool },
-    /// A leader's entries, or none; `round` is given back.
+    /// A leader's entries after `previous`, or a heartbeat without entries. The response repeats `round`.
     AppendEntries { term: u64, previous: LogPosition, entries: Vec<Entry>, commit: u64, round: u64 },
-    /// What stands on the follower's disk up to `matched`, or where the leader should try next. `counts`: this machine
-    /// may be counted for a majority.
+    /// Answers `AppendEntries`: the index up to which the follower holds the leader's entries on disk, or
+    /// after a rejection the index from which the leader should retry. `quorum_eligible` says whether the
+    /// follower may be counted for a majority.
     AppendResponse { term: u64, accepted: bool, match_index: u64, round: u64, quorum_eligible: bool },
-    /// A part of a snapshot in place of entries that the leader has no more: what it stands for, its bytes from `offset` on,
-    /// how many there are in all, and their checksum.
+    /// A chunk of a snapshot, sent in place of entries that the leader no longer has: the position and
+    /// members of the snapshot, the chunk's bytes from `offset` on, and the total size and checksum of the
+    /// data.
     InstallSnapshot {
         term: u64,
         last: LogPosition,
@@ -29,15 +32,17 @@
         checksum: u32,
         round: u64,
     },
-    /// So much of that snapshot is here: the next part begins there.
+    /// Answers `InstallSnapshot`: how many bytes of that snapshot have arrived. The next chunk starts there.
     SnapshotChunkResponse { term: u64, last: LogPosition, received: u64, round: u64, quorum_eligible: bool },
-    /// Stand for election at once: the leader leaves.
+    /// Asks the receiver to start an election at once, because the leader steps aside.
     TransferLeadership { term: u64 },
-    /// What you told this leader is on your disk no more: an earlier state of it has been put back. Take it for lost.
+    /// Tells a follower that its disk no longer holds entries that it acknowledged to this leader: the disk
+    /// was rolled back to an earlier state, and must be treated as lost.
     DistrustDisk { term: u64 },
-    /// A machine without memory asks what there is. `call` is drawn at its start.
+    /// Asks for the receiver's state, after a start or a loss of the disk. `query_id` is drawn at random at
+    /// the start.
     QueryState { query_id: u64 },
-    /// The answer, and how far the one who answers can be relied on.
+    /// Answers `QueryState`. `integrity` says how far the reported state can be relied on.
     StateReport {
         query_id: u64,
         term: u64,
@@ -47,14 +52,14 @@
     },
 }
 
-/// How far what a machine holds can be relied on.
+/// How far the state that a replica reports can be relied on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StateIntegrity {
-    /// Everything that it promised.
+    /// It includes everything that the replica promised.
     Complete,
-    /// What its disk gave back at its start, or promises that can't be kept right now: the disk may be an earlier state of
-    /// itself, or takes no writes.
+    /// The disk may have been rolled back to an earlier state, or accepts no writes: the replica has not
+    /// confirmed its state since its start, or cannot keep promises now.
     Unconfirmed,
-    /// Its disk was lost.
+    /// The replica's disk was lost.
     Lost,
 }
--- a/crates/consensus/src/member/replication.rs
+++ b/crates/consensus/src/member/replication.rs
@@ -1,71 +1,74 @@
-//! The log's way from the leader to the followers, and what is committed by it.
+//! Replication of the log from the leader to its followers, and the commit index that follows from it.
 
-use super::{Member, Message, Role, MOST_BYTES};
+use super::{Member, Message, Role, MAX_APPEND_BYTES};
 use crate::log::{Entry, Payload, Snapshot};
 use crate::{LogPosition, MemberId, Millis};
 
 impl Member {
-    /// The leader takes an entry. Gives its index and term, or nothing where this machine doesn't lead.
+    /// Appends an entry, as leader. Returns its position, or `None` if this replica is not the leader.
     pub fn propose(&mut self, now: Millis, data: Vec<u8>) -> Option<LogPosition> {
         (self.role == Role::Leader).then(|| {
-            let mark = self.push(Payload::Data(data));
-            self.spread(now);
-            mark
+            let position = self.append_local(Payload::Data(data));
+            self.replicate_to_all(now);
+            position
         })
     }
 
-    pub(super) fn push(&mut self, payload: Payload) -> LogPosition {
+    /// Appends an entry of the current term to the leader's own log.
+    pub(super) fn append_local(&mut self, payload: Payload) -> LogPosition {
         let entry = Entry { term: self.hard_state.term, index: self.log.last_position().1 + 1, payload };
-        let mark = (entry.term, entry.index);
-        self.fresh.push(entry.clone());
+        let position = (entry.term, entry.index);
+        self.unsaved_entries.push(entry.clone());
         self.log.append(entry);
-        mark
+        position
     }
 
-    pub(super) fn spread(&mut self, now: Millis) {
-        for id in self.followers() {
-            self.append(now, id, false);
+    /// Sends all other members and learners the entries that they lack.
+    pub(super) fn replicate_to_all(&mut self, now: Millis) {
+        for id in self.replication_targets() {
+            self.send_append(now, id, false);
         }
     }
 
-    /// Sends a peer what it lacks, unless that is on its way already: then, with `even_empty`, a call without entries.
-    /// What was on its way for long is sent again.
-    pub(super) fn append(&mut self, now: Millis, id: MemberId, even_empty: bool) {
+    /// Sends a peer the entries or the snapshot chunk it lacks, unless they are in flight already. In that
+    /// case, and if it lacks nothing, `even_empty` sends a heartbeat. Anything in flight for two election
+    /// timeouts is sent again.
+    pub(super) fn send_append(&mut self, now: Millis, id: MemberId, even_empty: bool) {
         let last = self.log.last_position().1;
-        let (term, commit) = (self.hard_state.term, self.commit);
+        let (term, commit) = (self.hard_state.term, self.commit_index);
         let Some(peer) = self.peers.get_mut(&id) else { return };
-        let out = peer.waiting.is_some_and(|(at, _)| now < at + 2 * self.set.election_timeout);
-        if !even_empty && (out || peer.next > last) {
+        let in_flight = peer.in_flight.is_some_and(|(at, _)| now < at + 2 * self.options.election_timeout);
+        if !even_empty && (in_flight || peer.next_index > last) {
             return;
         }
-        peer.sent = now;
-        // Each message has a round of its own, so that answers have an order.
+        peer.last_sent = now;
+        // Each message has its own round, so that responses can be ordered.
         self.round += 1;
         let round = self.round;
-        if out {
-            // Guards against sending the same again and again on a link that it fills.
+        if in_flight {
+            // Sending the same entries repeatedly would saturate a slow link.
             let previous = self.log.term(peer.match_index).map_or((0, 0), |term| (term, peer.match_index));
             self.send(id, Message::AppendEntries { term, previous, entries: Vec::new(), commit, round });
             return;
         }
-        if peer.next <= last || self.log.term(peer.next.max(1) - 1).is_none() {
-            peer.waiting = Some((now, round));
+        if peer.next_index <= last || self.log.term(peer.next_index.max(1) - 1).is_none() {
+            peer.in_flight = Some((now, round));
         }
-        let next = peer.next.max(1);
+        let next = peer.next_index.max(1);
         let message = match self.log.term(next - 1) {
             Some(previous) => {
-                let entries = self.log.entries_from(next, MOST_BYTES);
+                let entries = self.log.entries_from(next, MAX_APPEND_BYTES);
                 Message::AppendEntries { term, previous: (previous, next - 1), entries, commit, round }
             }
             None => {
                 let Snapshot { last, members, data } = &self.log.snapshot;
-                if peer.snapshot.0 != *last {
-                    peer.snapshot = (*last, 0);
+                if peer.snapshot_progress.0 != *last {
+                    peer.snapshot_progress = (*last, 0);
                 }
                 peer.installing = true;
-                let from = (peer.snapshot.1 as usize).min(data.len());
+                let from = (peer.snapshot_progress.1 as usize).min(data.len());
                 let chunk =
-                    data[from..(from + self.set.snapshot_chunk_bytes.max(1)).min(data.len())].to_vec();
+                    data[from..(from + self.options.snapshot_chunk_bytes.max(1)).min(data.len())].to_vec();
                 Message::InstallSnapshot {
                     term,
                     last: *last,
@@ -81,8 +84,8 @@
         self.send(id, message);
     }
 
-    /// Whether a leader's message is of this term.
-    pub(super) fn heed(&mut self, now: Millis, from: MemberId, term: u64, round: u64) -> bool {
+    /// Accepts a message of the current or a later term as a leader's, and rejects one of an earlier term.
+    pub(super) fn accept_leader(&mut self, now: Millis, from: MemberId, term: u64, round: u64) -> bool {
         if term < self.hard_state.term {
             let (term, quorum_eligible) = (self.hard_state.term, false);
             self.send(
@@ -91,15 +94,16 @@
             );
             return false;
         }
-        self.follow(now, term, Some(from));
-        self.rest(now);
-        // Answers have the newest round that was heeded: a message that comes late is answered like the one before it, so that
-        // what this machine holds never seems to shrink.
-        self.heeded = self.heeded.max((term, round));
+        self.become_follower(now, term, Some(from));
+        self.reset_deadline(now);
+        // Responses carry the newest round accepted so far. The response to a delayed message is then no newer
+        // than the one before it, and the leader does not take its lower match index for a rolled-back disk.
+        self.latest_leader_round = self.latest_leader_round.max((term, round));
         true
     }
 
-    pub(super) fn take(
+    /// Appends a leader's entries, if they continue this replica's log, and acknowledges them.
+    pub(super) fn handle_append_entries(
         &mut self,
         from: MemberId,
         previous: LogPosition,
@@ -111,7 +115,8 @@
         let accepted =
             previous.1 < self.log.first_index() - 1 || self.log.term(previous.1) == Some(previous.0);
         if !accepted {
-            let match_index = self.log.last_position().1.min(previous.1.saturating_sub(1)).max(self.commit);
+            let match_index =
+                self.log.last_position().1.min(previous.1.saturating_sub(1)).max(self.commit_index);
             let quorum_eligible = self.is_quorum_eligible();
             self.send(
                 from,
@@ -119,7 +124,7 @@
             );
             return;
         }
-        if !entries.is_empty() && self.backlogged() {
+        if !entries.is_empty() && self.write_backlog_full() {
             return; // the leader sends them again
         }
         let mut match_index = previous.1;
@@ -128,14 +133,14 @@
             if entry.index < self.log.first_index() || self.log.term(entry.index) == Some(entry.term) {
                 continue;
             }
-            self.fresh.retain(|other| other.index < entry.index);
-            self.fresh.push(entry.clone());
-            self.written = self.written.min(entry.index - 1);
+            self.unsaved_entries.retain(|other| other.index < entry.index);
+            self.unsaved_entries.push(entry.clone());
+            self.persisted_index = self.persisted_index.min(entry.index - 1);
             self.log.append(entry);
             self.members = self.log.members();
         }
-        self.caught_up();
-        self.commit = self.commit.max(commit.min(match_index));
+        self.finish_catch_up();
+        self.commit_index = self.commit_index.max(commit.min(match_index));
         let quorum_eligible = self.is_quorum_eligible();
         self.send(
             from,
@@ -143,7 +148,8 @@
         );
     }
 
-    pub(super) fn appended(
+    /// Updates a peer's progress from its acknowledgement or rejection, and sends what it lacks next.
+    pub(super) fn handle_append_response(
         &mut self,
         now: Millis,
         from: MemberId,
@@ -154,60 +160,65 @@
     ) {
         let last = self.log.last_position().1;
         let Some(peer) = self.peers.get_mut(&from) else { return };
-        peer.heard = now;
+        peer.last_heard = now;
         if quorum_eligible && !peer.quorum_eligible {
             peer.match_index = 0;
         }
         peer.quorum_eligible = quorum_eligible;
         if !quorum_eligible {
-            peer.match_index = 0; // its disk is lost: what it told before is void
+            peer.match_index = 0; // its earlier acknowledgements are void, since its disk may be lost
         }
-        // Links keep order: whoever answers what was sent after the entries, and not those, never got them.
-        let lost = peer.waiting.is_some_and(|(_, sent)| round > sent);
-        if !accepted || match_index >= peer.next || lost {
-            peer.waiting = None;
+        // Links preserve order: a peer that answers a later message, but not the one with the entries, never
+        // received them.
+        let entries_lost = peer.in_flight.is_some_and(|(_, sent)| round > sent);
+        if !accepted || match_index >= peer.next_index || entries_lost {
+            peer.in_flight = None;
         }
         if accepted {
             if match_index.min(last) >= peer.match_index {
-                (peer.match_index, peer.told) = (match_index.min(last), round);
+                (peer.match_index, peer.match_round) = (match_index.min(last), round);
             }
             peer.installing &= peer.match_index < self.log.snapshot.last.1;
-            peer.next = peer.next.max(match_index + 1).min(last + 1);
-            peer.round = peer.round.max(round);
+            peer.next_index = peer.next_index.max(match_index + 1).min(last + 1);
+            peer.acked_round = peer.acked_round.max(round);
         } else {
-            // Guards against a disk of which an earlier state was put back: what it no longer holds is not counted as there, and
-            // it counts for nothing before it has asked the others.
-            if quorum_eligible && round > peer.told && match_index < peer.match_index {
+            // The peer's disk was rolled back to an earlier state. Its entries do not count, and neither does
+            // the peer, until it has queried the others.
+            if quorum_eligible && round > peer.match_round && match_index < peer.match_index {
                 (peer.match_index, peer.quorum_eligible) = (0, false);
                 let term = self.hard_state.term;
                 self.send(from, Message::DistrustDisk { term });
                 return;
             }
-            peer.next = (match_index + 1).min(peer.next.saturating_sub(1)).max(1);
+            peer.next_index = (match_index + 1).min(peer.next_index.saturating_sub(1)).max(1);
         }
-        if !accepted || peer.next <= last {
-            self.append(now, from, true);
+        if !accepted || peer.next_index <= last {
+            self.send_append(now, from, true);
         }
-        self.count(now);
+        self.advance_commit(now);
     }
 
-    /// Commits what stands on the disks of a majority.
-    pub(super) fn count(&mut self, now: Millis) {
+    /// Advances the commit index, as leader, to the last entry of the current term that is on a majority's
+    /// disks.
+    pub(super) fn advance_commit(&mut self, now: Millis) {
         if self.role != Role::Leader {
             return;
         }
-        let own = if self.votes_here() { Some(self.written) } else { None };
-        let others = self.others();
-        let followers = self.followers();
-        let there = others.iter().filter_map(|id| self.peers.get(id)).filter(|peer| peer.quorum_eligible);
-        let mut marks: Vec<u64> = there.map(|peer| peer.match_index).chain(own).collect();
-        marks.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(&index) = marks.get(self.members.len() / 2) else { return };
-        // Guards against committing by count what a later leader may still replace: entries of this term only.
-        if index > self.commit && self.log.term(index) == Some(self.hard_state.term) {
-            self.commit = index;
+        let own_index = if self.is_complete_member() { Some(self.persisted_index) } else { None };
+        let others = self.other_members();
+        let followers = self.replication_targets();
+        let counted_peers =
+            others.iter().filter_map(|id| self.peers.get(id)).filter(|peer| peer.quorum_eligible);
+        let mut match_indexes: Vec<u64> =
+            counted_peers.map(|peer| peer.match_index).chain(own_index).collect();
+        match_indexes.sort_unstable_by(|a, b| b.cmp(a));
+        let Some(&index) = match_indexes.get(self.members.len() / 2) else { return };
+        // A later leader may still replace an entry of an earlier term even if a majority holds it, so only
+        // entries of the current term are committed by counting replicas.
+        if index > self.commit_index && self.log.term(index) == Some(self.hard_state.term) {
+            self.commit_index = index;
             for id in followers {
-                self.append(now, id, true); // the word of it goes at once
+                self.send_append(now, id, true); // announces the new commit index at once
             }
         }
     }
--- a/crates/storage/src/writer.rs
+++ b/crates/storage/src/writer.rs
@@ -1,51 +1,51 @@
-//! Writes that go on over a disk that refuses for a while: each batch is tried again with growing pauses, on the file opened anew,
-//! until it is down. Nothing is reported as written before it is synced.
+//! Writes that outlast temporary disk errors: each batch is retried with increasing delays, on a reopened
+//! file, until it is written. No batch is reported as written before it is synced.
 
 use crate::{LogStore, StoreError};
 use milletwing_consensus::Batch;
 use std::time::Duration;
 
-/// The first and the longest pause before what was refused is tried again.
-const RETRY: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
+/// The first and the longest delay before a retry.
+const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
 
-/// What became of the batch that is out.
+/// The outcome of one attempt to write a batch.
 #[derive(Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It is on the disk.
+    /// The batch is on disk.
     Written,
-    /// It is not, and is tried again.
+    /// The disk failed; the batch is retried.
     Unavailable(String),
-    /// The file can't be used any more.
+    /// The file is corrupt and cannot be used any more.
     Corrupt(String),
 }
 
-/// Pauses that double up to a bound.
+/// Retry delays that double up to a maximum.
 #[derive(Default)]
 pub struct Backoff(u32);
 
 impl Backoff {
-    /// The next pause.
+    /// Returns the next delay.
     pub fn next_delay(&mut self) -> Duration {
-        let pause = RETRY.0.saturating_mul(1 << self.0.min(16)).min(RETRY.1);
+        let delay = RETRY_DELAYS.0.saturating_mul(1 << self.0.min(16)).min(RETRY_DELAYS.1);
         self.0 += 1;
-        pause
+        delay
     }
 }
 
-/// Writes batches to a file that is opened anew after each refusal.
+/// Writes batches to a file that is reopened after each error.
 pub struct RetryingWriter<Open> {
     store: Option<LogStore>,
     open: Open,
 }
 
 impl<Open: FnMut() -> Result<LogStore, StoreError>> RetryingWriter<Open> {
-    /// `store` is open; `open` opens it again.
+    /// `store` is the open file; `open` reopens it.
     pub fn new(store: LogStore, open: Open) -> RetryingWriter<Open> {
         RetryingWriter { store: Some(store), open }
     }
 
-    /// Tries once to write and sync a batch. The same batch may be written any number of times: it replaces what stands from its
-    /// first index on. Errors: the disk refused, or the file is damaged.
+    /// Tries once to write and sync a batch. A batch may be written repeatedly: it replaces all entries from
+    /// its first index on. Fails if the disk failed or the file is corrupt.
     pub fn try_write(&mut self, batch: &Batch) -> Result<(), StoreError> {
         let store = match self.store.take() {
             Some(store) => store,
@@ -56,12 +56,13 @@
         Ok(())
     }
 
-    /// Writes a batch for as long as it takes, reporting each refusal. `pause` waits; it says whether to go on.
+    /// Writes a batch, retrying until it succeeds, and reports the outcome of each attempt. `wait` waits for
+    /// the given delay and returns false to give up. Returns whether the batch was written.
     pub fn write(
         &mut self,
         batch: &Batch,
         mut report: impl FnMut(WriteOutcome),
-        mut pause: impl FnMut(Duration) -> bool,
+        mut wait: impl FnMut(Duration) -> bool,
     ) -> bool {
         let mut backoff = Backoff::default();
         loop {
@@ -70,13 +71,13 @@
                     report(WriteOutcome::Written);
                     return true;
                 }
-                Err(StoreError::Corrupt(why)) => {
-                    report(WriteOutcome::Corrupt(why));
+                Err(StoreError::Corrupt(reason)) => {
+                    report(WriteOutcome::Corrupt(reason));
                     return false;
                 }
-                Err(StoreError::Unavailable(why)) => report(WriteOutcome::Unavailable(why.to_string())),
+                Err(StoreError::Unavailable(reason)) => report(WriteOutcome::Unavailable(reason.to_string())),
             }
-            if !pause(backoff.next_delay()) {
+            if !wait(backoff.next_delay()) {
                 return false;
             }
         }
