--- a/crates/consensus/tests/catch_up.rs
+++ b/crates/consensus/tests/catch_up.rs
@@ -1,62 +1,67 @@
-//! Machines that were away for many changes: they catch up while changes go on, whoever leads meanwhile and wherever they are
-//! started again; and logs stay bounded.
+//! Replicas that were down for many entries catch up while new entries keep arriving, even if the leader
+//! changes or they restart on the way. Logs stay bounded.
 
 mod simulation;
 
 use milletwing_consensus::{Entry, Member, Message, Options, Payload, Role, StoredState};
-use simulation::World;
+use simulation::Cluster;
 
-const SILENCE: u64 = 2_000;
+/// Silence after which a member is removed, in milliseconds.
+const REMOVAL_SILENCE_MS: u64 = 2_000;
 
-fn pass(world: &mut World, time: u64, every: u64) {
-    let end = world.now + time;
-    while world.now < end {
-        world.step();
-        if world.now.is_multiple_of(every) {
-            world.call();
+/// Runs the cluster for a time, with client calls at an interval.
+fn run_for(cluster: &mut Cluster, duration: u64, interval: u64) {
+    let end = cluster.now + duration;
+    while cluster.now < end {
+        cluster.step();
+        if cluster.now.is_multiple_of(interval) {
+            cluster.propose_and_read();
         }
     }
 }
 
-/// One of three is away for a thousand changes and fifty snapshots, then comes back while a hundred changes come each second.
+/// One of three replicas is down for a thousand entries and fifty snapshots, then returns while a hundred
+/// entries are proposed each second.
 #[test]
-fn one_that_was_away_for_a_thousand_changes_catches_up_while_more_come() {
+fn replica_that_missed_a_thousand_entries_catches_up_while_more_arrive() {
     for seed in 0..24 {
-        let mut world = World::new(seed, 3);
-        // What it lacks takes over a second to arrive, in which leaders would take several snapshots.
-        world.part = 1_024;
-        while !(world.joined() && world.leader().is_some()) {
-            world.step();
-            world.join(SILENCE);
+        let mut cluster = Cluster::new(seed, 3);
+        // The missing data takes over a second to arrive. Leaders would otherwise take several snapshots in
+        // that time.
+        cluster.snapshot_chunk_bytes = 1_024;
+        while !(cluster.all_joined() && cluster.leader().is_some()) {
+            cluster.step();
+            cluster.update_membership(REMOVAL_SILENCE_MS);
         }
-        let away = world.leader().map_or(1, |leader| leader % 3 + 1);
-        world.kill(away, seed % 4 == 3, 1_000_000);
-        pass(&mut world, 8_000, 5);
-        world.machines.get_mut(&away).unwrap().back = world.now;
+        let absent = cluster.leader().map_or(1, |leader| leader % 3 + 1);
+        cluster.kill(absent, seed % 4 == 3, 1_000_000);
+        run_for(&mut cluster, 8_000, 5);
+        cluster.replicas.get_mut(&absent).unwrap().restart_at = cluster.now;
         let mut caught_up = false;
         for round in 0..60 {
-            pass(&mut world, 250, 10);
-            // Another leads half way, or the one that comes back is started again in the middle.
+            run_for(&mut cluster, 250, 10);
+            // The leader changes halfway, or the returning replica restarts in the middle.
             if round == 4 && seed % 3 == 0 {
-                let leader = world.leader().unwrap_or(1);
-                world.kill(leader, false, 700);
+                let leader = cluster.leader().unwrap_or(1);
+                cluster.kill(leader, false, 700);
             }
             if round == 5 && seed % 3 == 1 {
-                world.kill(away, false, 50);
+                cluster.kill(absent, false, 50);
             }
-            let newest = world.acked.keys().last().copied().unwrap_or(0);
-            let holds =
-                |member: &Member| !member.has_lost_state() && member.commit_and_last().0 + 60 >= newest;
-            caught_up = round > 8 && world.machines[&away].member.as_ref().is_some_and(holds);
+            let last_acked = cluster.acked.keys().last().copied().unwrap_or(0);
+            let has_caught_up =
+                |member: &Member| !member.has_lost_state() && member.commit_and_last().0 + 60 >= last_acked;
+            caught_up = round > 8 && cluster.replicas[&absent].member.as_ref().is_some_and(has_caught_up);
             if caught_up {
                 break;
             }
         }
-        assert!(world.acked.len() > 1_000, "seed {seed}: {} changes", world.acked.len());
-        assert!(caught_up, "seed {seed}: machine {away} never caught up");
+        assert!(cluster.acked.len() > 1_000, "seed {seed}: {} entries acknowledged", cluster.acked.len());
+        assert!(caught_up, "seed {seed}: replica {absent} never caught up");
     }
 }
 
+/// A founding member that compacts its log by size.
 fn follower(snapshot_after_bytes: usize) -> Member {
     let options = Options {
         id: 1,
@@ -71,17 +76,18 @@
     Member::new(options, &StoredState::default(), Some(&[1, 2, 3]), &[1, 2, 3], 0).unwrap()
 }
 
-fn settle(member: &mut Member) {
-    while let Some(work) = member.take_ready() {
-        member.on_persisted(0, work.last);
+/// Reports all pending output as persisted.
+fn persist_pending(member: &mut Member) {
+    while let Some(ready) = member.take_ready() {
+        member.on_persisted(0, ready.last);
     }
 }
 
 #[test]
-fn a_log_is_cut_by_its_bytes_as_well() {
-    const LARGEST: usize = 1 << 20;
-    let mut member = follower(LARGEST);
-    settle(&mut member);
+fn log_is_compacted_by_size_as_well() {
+    const MAX_BYTES: usize = 1 << 20;
+    let mut member = follower(MAX_BYTES);
+    persist_pending(&mut member);
     let mut snapshots = 0;
     for index in 2..400 {
         let entry = Entry { term: 1, index, payload: Payload::Data(vec![0; 50_000]) };
@@ -91,28 +97,28 @@
             2,
             Message::AppendEntries { term: 1, previous, entries: vec![entry], commit: index, round: index },
         );
-        settle(&mut member);
+        persist_pending(&mut member);
         member.take_committed();
         if member.should_snapshot() {
             member.save_snapshot(vec![1; 10]);
             snapshots += 1;
-            settle(&mut member);
+            persist_pending(&mut member);
         }
-        let held = member.commit_and_last().1 .1 - member.first_index();
-        assert!(held * 50_000 <= 2 * LARGEST as u64, "{held} entries are kept");
+        let kept = member.commit_and_last().1 .1 - member.first_index();
+        assert!(kept * 50_000 <= 2 * MAX_BYTES as u64, "{kept} entries kept after the snapshot");
     }
     assert!((10..60).contains(&snapshots), "{snapshots} snapshots of 20 MB of entries");
 }
 
 #[test]
-fn a_snapshot_of_what_is_there_drops_nothing_behind_it() {
+fn snapshot_of_known_entries_drops_no_later_entries() {
     let mut member = follower(1 << 20);
-    settle(&mut member);
+    persist_pending(&mut member);
     let entries = (2..=9).map(|index| Entry { term: 1, index, payload: Payload::Data(vec![index as u8]) });
     let entries: Vec<Entry> = entries.collect();
     member.step(0, 2, Message::AppendEntries { term: 1, previous: (1, 1), entries, commit: 1, round: 1 });
-    settle(&mut member);
-    // A leader that takes this machine for one far behind, by an answer that was held up.
+    persist_pending(&mut member);
+    // A leader that received a delayed response takes this replica for one that is far behind.
     member.step(
         0,
         2,
@@ -127,6 +133,6 @@
             round: 2,
         },
     );
-    assert_eq!(member.commit_and_last(), (5, (1, 9)), "entries that it had acknowledged are gone");
+    assert_eq!(member.commit_and_last(), (5, (1, 9)), "entries that it had acknowledged were dropped");
     assert_eq!(member.role(), Role::Follower);
 }
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -1,375 +1,419 @@
-//! Election, commit and the return of a lost disk at three machines, explored in full within bounds: messages come in any
-//! order, late or never, and a disk may be lost at any moment. The model says what `member.rs` does in the fewest words; its
-//! guarding lines can be left out one at a time, and then what they guard against is found.
+//! Exhaustive exploration, within bounds, of election, commit and recovery of a lost disk with three
+//! replicas. Messages arrive in any order, late or never, and a disk may be lost at any time. The model is a
+//! minimal version of `member.rs`. Each of its safety rules can be disabled separately, and the exploration
+//! must then find a violation.
 
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 
+/// Number of replicas.
 const SIZE: usize = 3;
+/// Number of disks that may be lost at the same time.
 const LOSSES: usize = 1;
 
-/// A line that is left out.
+/// The safety rule that is disabled. Each variant describes what is possible without its rule.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Without {
-    Nothing,
-    /// A machine without memory counts as soon as one other has told what it holds.
-    Answers,
-    /// It counts before it holds what it was told of.
-    CatchingUp,
-    /// Votes go to logs that are behind as well.
-    NotBehind,
-    /// An earlier term's entries are committed by count.
-    OwnTerm,
-    /// A vote may be lent again in the term in which the disk was lost.
-    VoteBarred,
+enum DisabledRule {
+    None,
+    /// A replica that lost its disk counts as soon as one other has reported its state.
+    RequiredReports,
+    /// A recovering replica counts before its log has reached the reported position.
+    CatchUpTarget,
+    /// Votes are granted to candidates with outdated logs.
+    UpToDateCandidate,
+    /// Entries of earlier terms are committed by counting replicas.
+    CurrentTermCommit,
+    /// A replica may vote again in the term in which its disk was lost.
+    VoteBar,
 }
 
-/// The term of each entry: with one leader a term, term and place are the entry.
+/// The term of each entry. With one leader per term, term and index identify the entry.
 type Log = Vec<u8>;
-type Last = (u8, usize);
-/// Each peer's term and last entry as it told them, and what the log must hold once enough have.
-type Lost = ([Option<(u8, Last)>; SIZE], Option<Last>);
+type Position = (u8, usize);
+/// Each peer's reported term and last entry, and the position that the log must reach once enough peers have
+/// reported.
+type Recovery = ([Option<(u8, Position)>; SIZE], Option<Position>);
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Machine {
+struct Replica {
     term: u8,
     vote: Option<u8>,
     log: Log,
-    leads: bool,
+    is_leader: bool,
     votes: BTreeSet<u8>,
-    /// What each peer has on its disk, as this leader was told.
-    matched: [usize; SIZE],
-    /// The disk was lost.
-    lost: Option<Lost>,
-    /// How often: the peers learn it with the next answer.
-    life: u8,
-    lives: [u8; SIZE],
+    /// Index up to which each peer has acknowledged entries to this leader.
+    match_index: [usize; SIZE],
+    /// Set while the replica recovers from the loss of its disk.
+    recovery: Option<Recovery>,
+    /// How often the disk was lost. Peers learn it from the next response.
+    generation: u8,
+    peer_generations: [u8; SIZE],
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    Vote { term: u8 },
-    Append { term: u8, log: Log },
-    Appended { term: u8, matched: usize, life: u8 },
+    VoteGranted { term: u8 },
+    AppendEntries { term: u8, log: Log },
+    AppendResponse { term: u8, match_index: usize, generation: u8 },
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct World {
-    machines: [Machine; SIZE],
-    /// From whom, to whom; each may come at any moment, or never.
-    net: BTreeSet<(u8, u8, Message)>,
-    /// What was acknowledged, and who has led each term.
+struct ClusterState {
+    replicas: [Replica; SIZE],
+    /// Sender, receiver and message. Each may be delivered at any time, or never.
+    messages: BTreeSet<(u8, u8, Message)>,
+    /// The acknowledged entries.
     committed: Log,
-    /// In which leader's term each of them was.
-    during: Vec<u8>,
+    /// For each acknowledged entry, the term of the leader that committed it.
+    commit_terms: Vec<u8>,
+    /// The replicas that have led each term.
     leaders: Vec<(u8, u8)>,
-    wipes: u8,
-    forgotten: bool,
-    two: bool,
+    disk_losses: u8,
+    /// An acknowledged entry was replaced or is missing from the log of a later leader.
+    entry_lost: bool,
+    /// Two replicas have led the same term.
+    two_leaders: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Act {
-    Stand(usize),
-    /// A candidate's question reaches a machine.
-    Ask(usize, usize),
+enum Action {
+    StartElection(usize),
+    /// A candidate's vote request reaches a replica.
+    RequestVote(usize, usize),
     Propose(usize),
-    Spread(usize, usize),
+    Replicate(usize, usize),
     Deliver(u8, u8, Message),
-    Wipe(usize),
-    Recall(usize, usize),
+    LoseDisk(usize),
+    /// A recovering replica receives the report of another one.
+    QueryState(usize, usize),
 }
 
-struct Core {
-    without: Without,
+struct ClusterModel {
+    disabled: DisabledRule,
     terms: u8,
     entries: usize,
-    wipes: u8,
-    /// What the machines begin with; nothing of it is acknowledged.
+    disk_losses: u8,
+    /// The initial logs; none of their entries is acknowledged.
     logs: [Log; SIZE],
 }
 
-fn last(log: &Log) -> Last {
+/// Position of the last entry, or zeros for an empty log.
+fn last_position(log: &Log) -> Position {
     (log.last().copied().unwrap_or(0), log.len())
 }
 
-impl Machine {
-    fn follow(&mut self, term: u8) {
+impl Replica {
+    fn become_follower(&mut self, term: u8) {
         if term > self.term {
             (self.term, self.vote) = (term, None);
         }
-        self.leads = false;
+        self.is_leader = false;
         self.votes.clear();
     }
 
-    fn caught_up(&mut self, without: Without) {
-        let own = last(&self.log);
-        if self.lost.as_ref().is_some_and(|(_, target)| {
-            target.is_some_and(|target| own >= target || without == Without::CatchingUp)
+    fn finish_catch_up(&mut self, disabled: DisabledRule) {
+        let position = last_position(&self.log);
+        if self.recovery.as_ref().is_some_and(|(_, target)| {
+            target.is_some_and(|target| position >= target || disabled == DisabledRule::CatchUpTarget)
         }) {
-            self.lost = None;
+            self.recovery = None;
         }
     }
 }
 
-impl World {
-    /// A message is on its way. A connection keeps order, and a newer message of a kind stands for the one before it.
-    fn post(&mut self, from: u8, to: u8, message: Message) {
+impl ClusterState {
+    /// Sends a message. Connections preserve order, and a newer message of the same kind replaces the one
+    /// before it.
+    fn send(&mut self, from: u8, to: u8, message: Message) {
         let kind = std::mem::discriminant(&message);
-        self.net
+        self.messages
             .retain(|(by, whom, other)| (*by, *whom) != (from, to) || std::mem::discriminant(other) != kind);
-        self.net.insert((from, to, message));
+        self.messages.insert((from, to, message));
     }
 }
 
-impl Core {
-    /// A leader counts what stands on the disks of a majority.
-    fn count(&self, world: &mut World, at: usize) {
-        let leader = &world.machines[at];
-        if !leader.leads {
+impl ClusterModel {
+    /// Commits the entries that a majority has on disk.
+    fn advance_commit(&self, cluster: &mut ClusterState, at: usize) {
+        let leader = &cluster.replicas[at];
+        if !leader.is_leader {
             return;
         }
-        let (mut committed, mut during, mut forgotten) =
-            (world.committed.clone(), world.during.clone(), false);
+        let (mut committed, mut commit_terms, mut entry_lost) =
+            (cluster.committed.clone(), cluster.commit_terms.clone(), false);
         for index in 1..=leader.log.len() {
-            let there = (0..SIZE).filter(|peer| *peer == at || leader.matched[*peer] >= index).count();
-            let own = leader.log[index - 1] == leader.term || self.without == Without::OwnTerm;
-            if there * 2 > SIZE && own {
-                // What stands before an entry that is committed is committed with it.
+            let copies = (0..SIZE).filter(|peer| *peer == at || leader.match_index[*peer] >= index).count();
+            let may_commit =
+                leader.log[index - 1] == leader.term || self.disabled == DisabledRule::CurrentTermCommit;
+            if copies * 2 > SIZE && may_commit {
+                // Committing an entry commits all entries before it.
                 let all = &leader.log[..index];
-                forgotten |= committed.iter().zip(all).any(|(a, b)| a != b);
+                entry_lost |= committed.iter().zip(all).any(|(a, b)| a != b);
                 if all.len() > committed.len() {
                     committed = all.to_vec();
-                    during.resize(all.len(), leader.term);
+                    commit_terms.resize(all.len(), leader.term);
                 }
             }
         }
-        (world.committed, world.during) = (committed, during);
-        world.forgotten |= forgotten;
+        (cluster.committed, cluster.commit_terms) = (committed, commit_terms);
+        cluster.entry_lost |= entry_lost;
     }
 
-    fn elected(&self, world: &mut World, at: usize) {
-        let own = &mut world.machines[at];
-        if own.leads || own.votes.len() * 2 <= SIZE {
+    fn check_election(&self, cluster: &mut ClusterState, at: usize) {
+        let replica = &mut cluster.replicas[at];
+        if replica.is_leader || replica.votes.len() * 2 <= SIZE {
             return;
         }
-        own.leads = true;
-        own.matched = [0; SIZE];
-        own.lives = [0; SIZE];
-        let term = own.term;
-        // Whoever leads holds everything acknowledged in earlier terms.
-        let earlier = world.during.iter().take_while(|during| **during < term).count();
-        world.forgotten |= !own.log.starts_with(&world.committed[..earlier]);
-        world.two |= world.leaders.iter().any(|(of, who)| *of == term && usize::from(*who) != at);
-        world.leaders.push((term, at as u8));
-        world.leaders.sort_unstable();
-        world.leaders.dedup();
+        replica.is_leader = true;
+        replica.match_index = [0; SIZE];
+        replica.peer_generations = [0; SIZE];
+        let term = replica.term;
+        // A leader must hold everything acknowledged in earlier terms.
+        let earlier = cluster.commit_terms.iter().take_while(|commit_term| **commit_term < term).count();
+        cluster.entry_lost |= !replica.log.starts_with(&cluster.committed[..earlier]);
+        cluster.two_leaders |= cluster.leaders.iter().any(|(of, who)| *of == term && usize::from(*who) != at);
+        cluster.leaders.push((term, at as u8));
+        cluster.leaders.sort_unstable();
+        cluster.leaders.dedup();
     }
 
-    fn deliver(&self, world: &mut World, from: u8, to: u8, message: Message) {
+    fn deliver(&self, cluster: &mut ClusterState, from: u8, to: u8, message: Message) {
         let at = usize::from(to);
-        let deaf = matches!(world.machines[at].lost, Some((_, None)));
-        let own = &mut world.machines[at];
+        let ignores_messages = matches!(cluster.replicas[at].recovery, Some((_, None)));
+        let replica = &mut cluster.replicas[at];
         match message {
-            _ if deaf => {}
-            Message::Vote { term } => {
-                if term == own.term && own.vote == Some(to) && own.lost.is_none() {
-                    own.votes.insert(from);
-                    self.elected(world, at);
+            _ if ignores_messages => {}
+            Message::VoteGranted { term } => {
+                if term == replica.term && replica.vote == Some(to) && replica.recovery.is_none() {
+                    replica.votes.insert(from);
+                    self.check_election(cluster, at);
                 }
             }
-            Message::Append { term, log } => {
-                if term < own.term {
+            Message::AppendEntries { term, log } => {
+                if term < replica.term {
                     return;
                 }
-                if term > own.term || !own.leads {
-                    own.follow(term);
-                    let fits = own.log.iter().zip(&log).all(|(a, b)| a == b);
-                    if !fits || own.log.len() < log.len() {
-                        own.log = log.clone();
+                if term > replica.term || !replica.is_leader {
+                    replica.become_follower(term);
+                    let consistent = replica.log.iter().zip(&log).all(|(a, b)| a == b);
+                    if !consistent || replica.log.len() < log.len() {
+                        replica.log = log.clone();
                     }
-                    own.caught_up(self.without);
-                    // One that doesn't count yet says so: a leader then counts nothing of it.
-                    let matched = if own.lost.is_none() { log.len() } else { 0 };
-                    let life = own.life;
-                    world.post(to, from, Message::Appended { term, matched, life });
+                    replica.finish_catch_up(self.disabled);
+                    // A replica that is not counted yet says so, and the leader then counts none of its
+                    // entries.
+                    let match_index = if replica.recovery.is_none() { log.len() } else { 0 };
+                    let generation = replica.generation;
+                    cluster.send(to, from, Message::AppendResponse { term, match_index, generation });
                 }
             }
-            Message::Appended { term, matched, life } => {
-                if term == own.term && own.leads {
+            Message::AppendResponse { term, match_index, generation } => {
+                if term == replica.term && replica.is_leader {
                     let peer = usize::from(from);
-                    // A connection is begun anew with each life, so that an earlier one's word comes after no later one's.
-                    if life < own.lives[peer] {
+                    // Losing the disk starts a new connection, so messages of the earlier one cannot arrive
+                    // after those of the new one.
+                    if generation < replica.peer_generations[peer] {
                         return;
                     }
-                    if life > own.lives[peer] {
-                        (own.lives[peer], own.matched[peer]) = (life, 0);
+                    if generation > replica.peer_generations[peer] {
+                        (replica.peer_generations[peer], replica.match_index[peer]) = (generation, 0);
                     }
-                    own.matched[peer] = own.matched[peer].max(matched);
-                    self.count(world, at);
+                    replica.match_index[peer] = replica.match_index[peer].max(match_index);
+                    self.advance_commit(cluster, at);
                 }
             }
         }
     }
 }
 
-impl Model for Core {
-    type State = World;
-    type Action = Act;
+impl Model for ClusterModel {
+    type State = ClusterState;
+    type Action = Action;
 
-    fn init_states(&self) -> Vec<World> {
-        let mut world = World::default();
-        for (machine, log) in world.machines.iter_mut().zip(&self.logs) {
-            (machine.term, machine.log) =
+    fn init_states(&self) -> Vec<ClusterState> {
+        let mut cluster = ClusterState::default();
+        for (replica, log) in cluster.replicas.iter_mut().zip(&self.logs) {
+            (replica.term, replica.log) =
                 (self.logs.iter().flatten().copied().max().unwrap_or(1), log.clone());
         }
-        vec![world]
+        vec![cluster]
     }
 
-    fn actions(&self, world: &World, acts: &mut Vec<Act>) {
-        for (at, own) in world.machines.iter().enumerate() {
-            if own.lost.is_none() && !own.leads && own.term < self.terms {
-                acts.push(Act::Stand(at));
+    fn actions(&self, cluster: &ClusterState, actions: &mut Vec<Action>) {
+        for (at, replica) in cluster.replicas.iter().enumerate() {
+            if replica.recovery.is_none() && !replica.is_leader && replica.term < self.terms {
+                actions.push(Action::StartElection(at));
             }
-            if own.leads && own.log.len() < self.entries {
-                acts.push(Act::Propose(at));
+            if replica.is_leader && replica.log.len() < self.entries {
+                actions.push(Action::Propose(at));
             }
             for peer in (0..SIZE).filter(|peer| *peer != at) {
-                let deaf = matches!(world.machines[peer].lost, Some((_, None)));
-                if !own.leads && !own.votes.is_empty() && !own.votes.contains(&(peer as u8)) && !deaf {
-                    acts.push(Act::Ask(at, peer));
+                let ignores_messages = matches!(cluster.replicas[peer].recovery, Some((_, None)));
+                if !replica.is_leader
+                    && !replica.votes.is_empty()
+                    && !replica.votes.contains(&(peer as u8))
+                    && !ignores_messages
+                {
+                    actions.push(Action::RequestVote(at, peer));
                 }
-                if own.leads {
-                    acts.push(Act::Spread(at, peer));
+                if replica.is_leader {
+                    actions.push(Action::Replicate(at, peer));
                 }
-                let asks = own
-                    .lost
+                let queries = replica
+                    .recovery
                     .as_ref()
                     .is_some_and(|(answers, target)| target.is_none() && answers[peer].is_none());
-                if asks && world.machines[peer].lost.is_none() {
-                    acts.push(Act::Recall(at, peer));
+                if queries && cluster.replicas[peer].recovery.is_none() {
+                    actions.push(Action::QueryState(at, peer));
                 }
             }
-            // No more disks at once than may be lost.
-            let lost = world.machines.iter().filter(|machine| machine.lost.is_some()).count();
-            if world.wipes < self.wipes && own.lost.is_none() && lost < LOSSES {
-                acts.push(Act::Wipe(at));
+            // No more disks may be lost at the same time than the cluster tolerates.
+            let lost = cluster.replicas.iter().filter(|replica| replica.recovery.is_some()).count();
+            if cluster.disk_losses < self.disk_losses && replica.recovery.is_none() && lost < LOSSES {
+                actions.push(Action::LoseDisk(at));
             }
         }
-        acts.extend(world.net.iter().map(|(from, to, message)| Act::Deliver(*from, *to, message.clone())));
+        actions.extend(
+            cluster.messages.iter().map(|(from, to, message)| Action::Deliver(*from, *to, message.clone())),
+        );
     }
 
-    fn next_state(&self, world: &World, act: Act) -> Option<World> {
-        let mut next = world.clone();
-        match act {
-            Act::Stand(at) => {
-                let own = &mut next.machines[at];
-                own.follow(own.term + 1);
-                own.vote = Some(at as u8);
-                own.votes.insert(at as u8);
+    fn next_state(&self, cluster: &ClusterState, action: Action) -> Option<ClusterState> {
+        let mut next = cluster.clone();
+        match action {
+            Action::StartElection(at) => {
+                let replica = &mut next.replicas[at];
+                replica.become_follower(replica.term + 1);
+                replica.vote = Some(at as u8);
+                replica.votes.insert(at as u8);
             }
-            Act::Ask(candidate, at) => {
-                let (term, theirs) = (next.machines[candidate].term, last(&next.machines[candidate].log));
-                let own = &mut next.machines[at];
-                if term > own.term {
-                    own.follow(term);
+            Action::RequestVote(candidate, at) => {
+                let (term, candidate_last) =
+                    (next.replicas[candidate].term, last_position(&next.replicas[candidate].log));
+                let replica = &mut next.replicas[at];
+                if term > replica.term {
+                    replica.become_follower(term);
                 }
-                let behind = theirs < last(&own.log) && self.without != Without::NotBehind;
-                let free = own.vote.is_none() || own.vote == Some(candidate as u8);
-                if term == own.term && free && !behind && own.lost.is_none() && !own.leads {
-                    own.vote = Some(candidate as u8);
-                    next.post(at as u8, candidate as u8, Message::Vote { term });
+                let behind = candidate_last < last_position(&replica.log)
+                    && self.disabled != DisabledRule::UpToDateCandidate;
+                let vote_available = replica.vote.is_none() || replica.vote == Some(candidate as u8);
+                if term == replica.term
+                    && vote_available
+                    && !behind
+                    && replica.recovery.is_none()
+                    && !replica.is_leader
+                {
+                    replica.vote = Some(candidate as u8);
+                    next.send(at as u8, candidate as u8, Message::VoteGranted { term });
                 }
             }
-            Act::Propose(at) => {
-                let own = &mut next.machines[at];
-                own.log.push(own.term);
+            Action::Propose(at) => {
+                let replica = &mut next.replicas[at];
+                replica.log.push(replica.term);
             }
-            Act::Spread(at, peer) => {
-                let own = &next.machines[at];
-                let message = Message::Append { term: own.term, log: own.log.clone() };
-                next.post(at as u8, peer as u8, message);
+            Action::Replicate(at, peer) => {
+                let replica = &next.replicas[at];
+                let message = Message::AppendEntries { term: replica.term, log: replica.log.clone() };
+                next.send(at as u8, peer as u8, message);
             }
-            Act::Deliver(from, to, message) => {
-                next.net.remove(&(from, to, message.clone()));
+            Action::Deliver(from, to, message) => {
+                next.messages.remove(&(from, to, message.clone()));
                 self.deliver(&mut next, from, to, message);
             }
-            Act::Wipe(at) => {
-                let life = next.machines[at].life + 1;
-                next.machines[at] = Machine { lost: Some(([None; SIZE], None)), life, ..Machine::default() };
-                next.wipes += 1;
+            Action::LoseDisk(at) => {
+                let generation = next.replicas[at].generation + 1;
+                next.replicas[at] =
+                    Replica { recovery: Some(([None; SIZE], None)), generation, ..Replica::default() };
+                next.disk_losses += 1;
             }
-            Act::Recall(at, peer) => {
-                let told = (next.machines[peer].term, last(&next.machines[peer].log));
-                let own = &mut next.machines[at];
-                if let Some((answers, target)) = &mut own.lost {
-                    answers[peer] = Some(told);
-                    let need = if self.without == Without::Answers { 1 } else { SIZE - LOSSES };
-                    let heard: Vec<_> = answers.iter().flatten().collect();
-                    if heard.len() >= need {
-                        let term = heard.iter().map(|it| it.0).max().unwrap_or(0);
-                        *target = heard.iter().map(|it| it.1).max();
-                        own.term = term;
-                        // No machine has this number: none is lent in a term that may have had one.
-                        own.vote = (self.without != Without::VoteBarred).then_some(u8::MAX);
+            Action::QueryState(at, peer) => {
+                let report = (next.replicas[peer].term, last_position(&next.replicas[peer].log));
+                let replica = &mut next.replicas[at];
+                if let Some((answers, target)) = &mut replica.recovery {
+                    answers[peer] = Some(report);
+                    let required =
+                        if self.disabled == DisabledRule::RequiredReports { 1 } else { SIZE - LOSSES };
+                    let reports: Vec<_> = answers.iter().flatten().collect();
+                    if reports.len() >= required {
+                        let term = reports.iter().map(|it| it.0).max().unwrap_or(0);
+                        *target = reports.iter().map(|it| it.1).max();
+                        replica.term = term;
+                        // No replica has this ID, so the vote bars any other in a term in which the replica
+                        // may have voted.
+                        replica.vote = (self.disabled != DisabledRule::VoteBar).then_some(u8::MAX);
                     }
                 }
-                own.caught_up(self.without);
+                replica.finish_catch_up(self.disabled);
             }
         }
-        (next != *world).then_some(next)
+        (next != *cluster).then_some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nothing acknowledged is forgotten", |_, world: &World| !world.forgotten),
-            Property::always("one leader a term", |_, world: &World| !world.two),
+            Property::always("no acknowledged entry is lost", |_, cluster: &ClusterState| {
+                !cluster.entry_lost
+            }),
+            Property::always("one leader per term", |_, cluster: &ClusterState| !cluster.two_leaders),
             Property::sometimes(
                 "a lost disk counts again after entries were committed",
-                |_, world: &World| {
-                    world.wipes > 0
-                        && world.committed.len() > 1
-                        && world.machines.iter().all(|machine| machine.lost.is_none())
+                |_, cluster: &ClusterState| {
+                    cluster.disk_losses > 0
+                        && cluster.committed.len() > 1
+                        && cluster.replicas.iter().all(|replica| replica.recovery.is_none())
                 },
             ),
         ]
     }
 }
 
-fn explore(model: Core) -> (usize, Vec<&'static str>) {
+/// Explores all states of a model. Returns their number and the safety properties that are violated.
+fn explore(model: ClusterModel) -> (usize, Vec<&'static str>) {
     let checker = model.checker().threads(4).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
-    let found = checker.discoveries().into_keys().filter(|name| !name.starts_with("a lost disk")).collect();
-    (checker.unique_state_count(), found)
+    let violations =
+        checker.discoveries().into_keys().filter(|name| !name.starts_with("a lost disk")).collect();
+    (checker.unique_state_count(), violations)
 }
 
-fn core(without: Without, terms: u8, entries: usize, wipes: u8) -> Core {
-    Core { without, terms, entries, wipes, logs: Default::default() }
+fn cluster_model(disabled: DisabledRule, terms: u8, entries: usize, disk_losses: u8) -> ClusterModel {
+    ClusterModel { disabled, terms, entries, disk_losses, logs: Default::default() }
 }
 
 #[test]
-fn nothing_acknowledged_is_forgotten_and_each_term_has_one_leader() {
-    // Two leaders left unfinished logs behind, as they fell one after the other.
-    let unfinished = Core { logs: [vec![2], vec![], vec![3]], ..core(Without::Nothing, 5, 1, 0) };
-    for model in [core(Without::Nothing, 3, 1, 0), core(Without::Nothing, 2, 2, 1), unfinished] {
-        let bounds = (model.terms, model.entries, model.wipes);
-        let (states, found) = explore(model);
-        eprintln!("terms, entries, wipes {bounds:?}: {states} states");
-        assert_eq!(found, Vec::<&str>::new(), "{bounds:?}");
+fn no_acknowledged_entry_is_lost_and_each_term_has_one_leader() {
+    // Two leaders failed one after the other and left uncommitted entries behind.
+    let uncommitted_logs =
+        ClusterModel { logs: [vec![2], vec![], vec![3]], ..cluster_model(DisabledRule::None, 5, 1, 0) };
+    for model in [
+        cluster_model(DisabledRule::None, 3, 1, 0),
+        cluster_model(DisabledRule::None, 2, 2, 1),
+        uncommitted_logs,
+    ] {
+        let bounds = (model.terms, model.entries, model.disk_losses);
+        let (states, violations) = explore(model);
+        eprintln!("terms, entries, lost disks {bounds:?}: {states} states");
+        assert_eq!(violations, Vec::<&str>::new(), "{bounds:?}");
     }
 }
 
 #[test]
-fn each_line_left_out_is_found() {
-    for without in
-        [Without::Answers, Without::CatchingUp, Without::NotBehind, Without::OwnTerm, Without::VoteBarred]
-    {
-        let model = match without {
-            Without::NotBehind => core(without, 3, 1, 0),
-            Without::OwnTerm => Core { logs: [vec![2], vec![], vec![3]], ..core(without, 5, 2, 0) },
-            _ => core(without, 3, 1, 1),
+fn disabling_any_rule_is_detected() {
+    for disabled in [
+        DisabledRule::RequiredReports,
+        DisabledRule::CatchUpTarget,
+        DisabledRule::UpToDateCandidate,
+        DisabledRule::CurrentTermCommit,
+        DisabledRule::VoteBar,
+    ] {
+        let model = match disabled {
+            DisabledRule::UpToDateCandidate => cluster_model(disabled, 3, 1, 0),
+            DisabledRule::CurrentTermCommit => {
+                ClusterModel { logs: [vec![2], vec![], vec![3]], ..cluster_model(disabled, 5, 2, 0) }
+            }
+            _ => cluster_model(disabled, 3, 1, 1),
         };
-        let (states, found) = explore(model);
-        eprintln!("{without:?}: {states} states");
-        assert!(!found.is_empty(), "{without:?}");
+        let (states, violations) = explore(model);
+        eprintln!("{disabled:?}: {states} states");
+        assert!(!violations.is_empty(), "{disabled:?}");
     }
 }
--- a/crates/storage/tests/bound.rs
+++ b/crates/storage/tests/bound.rs
@@ -1,10 +1,10 @@
-//! The file stays small however many changes it has seen, and what is in it comes back.
+//! The file stays small however many changes it has seen, and its content can be read back.
 
 use milletwing_consensus::Batch;
 use milletwing_storage::LogStore;
 
 #[test]
-fn ten_thousand_changes_fit_in_the_stated_figure() {
+fn file_stays_below_8_mib_after_ten_thousand_entries() {
     let path = std::env::temp_dir().join(format!("store-bound-{}.redb", std::process::id()));
     let _ = std::fs::remove_file(&path);
     let store = LogStore::open(&path, 1 << 20).unwrap();
@@ -12,7 +12,8 @@
     for from in (1..=10_000).step_by(20) {
         let mut batch = Batch { entries: (from..from + 20).map(entry).collect(), ..Batch::default() };
         if from % 1_000 == 981 {
-            // As the core has it: a snapshot every thousand entries, a quarter of them stays behind it.
+            // As in the control plane: a snapshot every thousand entries, with a quarter of them kept behind
+            // it.
             batch.snapshot = Some((vec![7; 60_000], from + 20 - 250));
         }
         store.write(&batch).unwrap();
--- a/crates/storage/tests/refusals.rs
+++ b/crates/storage/tests/refusals.rs
@@ -1,5 +1,5 @@
-//! A disk that refuses at any call, in the middle of a batch: the batch is tried again until it is down, and whatever a start
-//! finds meanwhile is what stood before it or all of it.
+//! Disk errors at any call in the middle of a batch: the batch is retried until it is written, and a start in
+//! the meantime finds either the state before the batch or all of it.
 
 use milletwing_consensus::{Batch, StoredState};
 use milletwing_storage::{LogStore, RetryingWriter, StoreError, WriteOutcome};
@@ -11,39 +11,50 @@
 use std::time::Duration;
 
 /// No limit on calls.
-const FREE: usize = usize::MAX;
+const UNLIMITED: usize = usize::MAX;
 
-/// Memory that takes so many more writes, and refuses all after them.
+/// A disk in memory that allows a limited number of write calls, and fails all further ones.
 #[derive(Clone, Debug)]
 struct Disk {
     bytes: Arc<InMemoryBackend>,
-    room: Arc<AtomicUsize>,
+    remaining_calls: Arc<AtomicUsize>,
 }
 
 impl Disk {
     fn new() -> Disk {
-        Disk { bytes: Arc::new(InMemoryBackend::new()), room: Arc::new(AtomicUsize::new(FREE)) }
+        Disk {
+            bytes: Arc::new(InMemoryBackend::new()),
+            remaining_calls: Arc::new(AtomicUsize::new(UNLIMITED)),
+        }
     }
 
+    /// Allows this many more write calls.
     fn allow(&self, calls: usize) {
-        self.room.store(calls, Ordering::SeqCst);
+        self.remaining_calls.store(calls, Ordering::SeqCst);
     }
 
-    fn take(&self) -> Result<(), Error> {
-        let less = |room: usize| if room == FREE { Some(FREE) } else { room.checked_sub(1) };
-        let taken = self.room.fetch_update(Ordering::SeqCst, Ordering::SeqCst, less);
-        taken.map(drop).map_err(|_| Error::from(ErrorKind::StorageFull))
+    /// Counts a write call, which fails if no more are allowed.
+    fn count_call(&self) -> Result<(), Error> {
+        let decrement = |remaining_calls: usize| {
+            if remaining_calls == UNLIMITED {
+                Some(UNLIMITED)
+            } else {
+                remaining_calls.checked_sub(1)
+            }
+        };
+        let counted = self.remaining_calls.fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement);
+        counted.map(drop).map_err(|_| Error::from(ErrorKind::StorageFull))
     }
 
     fn open(&self) -> Result<LogStore, StoreError> {
         LogStore::with_backend(self.clone())
     }
 
-    /// What a start finds now, on a disk that takes writes again.
-    fn found(&self) -> StoredState {
-        let room = self.room.swap(FREE, Ordering::SeqCst);
+    /// The data that a start would find now, on a disk that accepts writes again.
+    fn stored_now(&self) -> StoredState {
+        let remaining_calls = self.remaining_calls.swap(UNLIMITED, Ordering::SeqCst);
         let stored = self.open().unwrap().load().unwrap();
-        self.allow(room);
+        self.allow(remaining_calls);
         stored
     }
 }
@@ -56,15 +67,15 @@
         self.bytes.read(offset, out)
     }
     fn set_len(&self, len: u64) -> Result<(), Error> {
-        self.take()?;
+        self.count_call()?;
         self.bytes.set_len(len)
     }
     fn sync_data(&self) -> Result<(), Error> {
-        self.take()?;
+        self.count_call()?;
         self.bytes.sync_data()
     }
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), Error> {
-        self.take()?;
+        self.count_call()?;
         self.bytes.write(offset, data)
     }
 }
@@ -75,50 +86,54 @@
     Batch { hard_state: Some(vec![number]), entries, snapshot: None }
 }
 
-fn holds(stored: &StoredState, upto: u8) -> bool {
-    let entries: Vec<Vec<u8>> = (0..=upto).flat_map(|it| vec![vec![it; 50_000]; 3]).collect();
-    stored.hard_state == Some(vec![upto]) && stored.entries == entries
+/// Whether the store holds exactly the batches up to a number.
+fn holds(stored: &StoredState, last: u8) -> bool {
+    let entries: Vec<Vec<u8>> = (0..=last).flat_map(|it| vec![vec![it; 50_000]; 3]).collect();
+    stored.hard_state == Some(vec![last]) && stored.entries == entries
 }
 
 #[test]
-fn a_batch_refused_at_any_call_counts_whole_or_not_at_all_and_is_down_in_the_end() {
-    let mut refused_batches = 0;
-    for calls in 0..40 {
+fn batch_that_fails_at_any_call_is_atomic_and_written_in_the_end() {
+    let mut failed_batches = 0;
+    for allowed_calls in 0..40 {
         let disk = Disk::new();
         let store = disk.open().unwrap();
-        let opening = disk.clone();
-        let mut writer = RetryingWriter::new(store, move || opening.open());
+        let disk_to_reopen = disk.clone();
+        let mut writer = RetryingWriter::new(store, move || disk_to_reopen.open());
         writer.try_write(&batch(0)).unwrap();
-        disk.allow(calls);
-        let mut reports = Vec::new();
-        let mut pauses = Vec::new();
-        let done = writer.write(
+        disk.allow(allowed_calls);
+        let mut outcomes = Vec::new();
+        let mut delays = Vec::new();
+        let written = writer.write(
             &batch(1),
-            |report| reports.push(report),
-            |pause: Duration| {
-                // While it is refused, nothing half written counts.
-                let found = disk.found();
-                assert!(holds(&found, 0) || holds(&found, 1), "after {calls} calls");
-                pauses.push(pause);
-                if pauses.len() == 4 {
-                    disk.allow(FREE);
+            |outcome| outcomes.push(outcome),
+            |delay: Duration| {
+                // While the batch is being retried, no partial write is visible.
+                let stored_now = disk.stored_now();
+                assert!(holds(&stored_now, 0) || holds(&stored_now, 1), "after {allowed_calls} calls");
+                delays.push(delay);
+                if delays.len() == 4 {
+                    disk.allow(UNLIMITED);
                 }
                 true
             },
         );
-        assert!(done);
-        assert_eq!(reports.pop(), Some(WriteOutcome::Written));
-        assert!(reports.iter().all(|report| matches!(report, WriteOutcome::Unavailable(_))), "{reports:?}");
-        assert!(pauses.is_sorted() && pauses.iter().all(|pause| *pause <= Duration::from_secs(1)));
-        refused_batches += usize::from(!reports.is_empty());
+        assert!(written);
+        assert_eq!(outcomes.pop(), Some(WriteOutcome::Written));
+        assert!(
+            outcomes.iter().all(|outcome| matches!(outcome, WriteOutcome::Unavailable(_))),
+            "{outcomes:?}"
+        );
+        assert!(delays.is_sorted() && delays.iter().all(|delay| *delay <= Duration::from_secs(1)));
+        failed_batches += usize::from(!outcomes.is_empty());
         drop(writer);
-        assert!(holds(&disk.found(), 1), "after {calls} calls");
+        assert!(holds(&disk.stored_now(), 1), "after {allowed_calls} calls");
     }
-    assert!(refused_batches > 5, "only {refused_batches} batches met a refusal");
+    assert!(failed_batches > 5, "only {failed_batches} batches met a disk error");
 }
 
 #[test]
-fn a_file_that_is_damaged_is_moved_away_and_one_that_cant_be_opened_stays() {
+fn corrupt_file_is_moved_aside_and_one_that_cannot_be_opened_stays() {
     let folder = std::env::temp_dir().join(format!("store-refusals-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
@@ -128,21 +143,21 @@
     assert!(opened.damage.is_some() && opened.stored.hard_state.is_none());
     opened.store.write(&batch(3)).unwrap();
     drop(opened);
-    // What it holds whole, and can't be used, is damaged as well.
-    let useless =
+    // A file whose intact data fails validation is treated as corrupt too.
+    let validate =
         |stored: &StoredState| if stored.hard_state.is_some() { Err("useless".into()) } else { Ok(()) };
-    let opened = LogStore::open_or_replace(&path, 1 << 20, useless).unwrap();
+    let opened = LogStore::open_or_replace(&path, 1 << 20, validate).unwrap();
     assert!(
         opened.damage.is_some_and(|damage| damage.contains("useless")) && opened.stored.hard_state.is_none()
     );
     drop(opened.store);
-    // A folder in the file's place can be opened by nobody: an error of the disk, and nothing is moved.
-    let taken = folder.join("taken.redb");
-    std::fs::create_dir(&taken).unwrap();
+    // A directory in the file's place cannot be opened: that is a disk error, and nothing is moved.
+    let directory = folder.join("taken.redb");
+    std::fs::create_dir(&directory).unwrap();
     assert!(matches!(
-        LogStore::open_or_replace(&taken, 1 << 20, |_| Ok(())),
+        LogStore::open_or_replace(&directory, 1 << 20, |_| Ok(())),
         Err(StoreError::Unavailable(_))
     ));
-    assert!(taken.is_dir());
+    assert!(directory.is_dir());
     std::fs::remove_dir_all(&folder).unwrap();
 }
