--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,5 +1,8 @@
-//! What the system's processes say to each other over TCP, on the first of the internal ports of a core machine. A
-//! connection begins with a [`Greeting`]; a core machine then sends [`PeerMessage`]s one way, an edge [`Up`]s and gets [`Down`]s.
+//! The internal protocol between core machines and edges, over TCP to the first internal port of a core machine.
+//!
+//! A connection starts with a [`Greeting`]. A core machine then sends [`PeerMessage`]s, in one direction only; an edge sends
+//! [`FromEdge`] messages and receives [`ToEdge`] messages. Each message is a frame: its length in four bytes, followed by
+//! its `postcard` encoding.
 
 use milletwing_config::{event, Settings};
 use milletwing_consensus::{MemberId, Message};
@@ -17,182 +20,185 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Bytes of a frame: a state with such a configuration and some thousand marshals.
+/// The largest frame in bytes. It holds a state with the largest configuration and several thousand marshals.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
 
-/// How a connection begins.
+/// The first message on a connection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Greeting {
-    /// A machine of the core.
+    /// The sender is the core machine with this id.
     Core(MemberId),
-    /// An edge, and the last entry that it has folded.
+    /// The sender is an edge, which has applied the log up to this entry.
     Edge(EdgeStatus, u64),
 }
 
-/// Between machines of the core.
+/// A message between core machines.
 #[allow(missing_docs)] // each variant's line says what its fields are
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// The agreement's.
+    /// A message of the consensus protocol.
     Consensus(Message),
-    /// Marshals and edges heard of, with the milliseconds since; edges in whole where something about them is new, else by
-    /// number.
+    /// Marshals and edges that the sender has heard recently. An edge that has changed is sent with its full status and the
+    /// milliseconds since it was heard, any other as a heartbeat.
     Gossip { nodes: Vec<String>, edges: Vec<(EdgeStatus, u64)>, heartbeats: Vec<EdgeHeartbeat> },
-    /// To the leader, for one who called here.
+    /// A request that the sender forwards to the leader.
     Call { call: CallId, request: CoreRequest },
-    /// The leader's answer.
+    /// The leader's answer to a forwarded request.
     Reply { call: CallId, answer: Answer },
-    /// One that isn't a member would be.
+    /// The sender is not a member and asks to become one.
     Join,
-    /// What an edge told of the trials under way: its number and life.
+    /// What an edge observed of the active trials.
     Reports { edge: u32, incarnation: u64, reports: Vec<TrialReport> },
-    /// What a machine found of an edge that it tells, in this life and zone of it.
+    /// The result of a drift check of an edge that is connected to the sender.
     Drift { edge: u32, incarnation: u64, zone: String, finding: Finding },
-    /// The digest of what the entries up to this one make.
+    /// The digest of the routing state as of a log entry.
     ViewDigest(u64, Digest),
-    /// What the edges of this machine met at hosts since it told last, by edge, each with the milliseconds since.
+    /// What the edges that are connected to the sender observed of marshals since its last message: the id of each edge, the
+    /// milliseconds since its report, and its observations.
     Observed(Vec<(u32, u64, Vec<HostObservation>)>),
 }
 
-/// A call among core machines, as its answer names it.
+/// Identifies a request between core machines, so that its answer can be matched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallId {
-    /// The life of the caller's process: drawn at its start.
+    /// The incarnation of the calling process: a number drawn at its start.
     pub incarnation: u64,
-    /// The call's number in that life.
+    /// The number of the request within that incarnation.
     pub number: u64,
 }
 
-/// What a member passes on to the leader.
+/// A request that is decided by the leader.
 #[allow(missing_docs)] // each variant's line says what its fields are
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CoreRequest {
-    /// A beat that changes something.
+    /// A heartbeat of a marshal that changes the state.
     Beat { id: String, beat: Beat },
-    /// A marshal's leave.
+    /// The deregistration of a marshal.
     Leave { id: String },
-    /// A configuration, packed.
+    /// A new configuration, as a [`Command::Configure`].
     Configure(Command),
-    /// A roll-out. `seen`: the last entry that was known where the call came, when it came; a later one about this service voids
-    /// the call.
+    /// Starts a roll-out. `seen` is the last entry that the core machine which received the call knew at that time. A later
+    /// entry about the same service makes the call void.
     RollOut { seen: u64, service: String, revision: String, period_ms: u64 },
-    /// A zone to be emptied or taken back. `order`: drawn for each call of an operator, the same however often it is passed on;
-    /// `seen` as for a roll-out.
+    /// Evacuates a zone or ends its evacuation. `order` is drawn for each call of an operator and remains the same when the
+    /// call is forwarded again. `seen` has the same meaning as for a roll-out.
     Evacuate { order: u64, seen: u64, zone: String, on: bool },
-    /// How far is the log, for certain?
+    /// Asks for an index that covers all entries committed so far, for a linearizable read.
     ReadIndex,
-    /// This machine is to stop: may it?
+    /// Asks for permission to stop this core machine.
     RequestStop { id: MemberId },
 }
 
-/// How it ended.
+/// The result of a [`CoreRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// It holds, as of this entry.
+    /// The request is in effect as of this entry.
     Done(u64),
-    /// It was refused: the status and the reason.
+    /// The request was refused, with an HTTP status and a reason.
     Refused(u16, String),
-    /// Nobody can say: it may hold now, or later, or never.
+    /// The outcome is unknown: the request may be in effect now, later or never.
     Unknown,
-    /// It was not taken, and never will be: no leader was there to take it.
+    /// The request has not been accepted and never will be, because there was no leader.
     NotAccepted,
-    /// It was not taken, and never will be: it was held up, and a later order stands.
+    /// The request has not been accepted and never will be: it was delayed, and a later order is in effect.
     Superseded,
 }
 
 impl Answer {
-    /// Whether it is certain that nothing was taken, and that nothing will be.
+    /// Whether it is certain that the request has had no effect and never will.
     pub fn not_applied(&self) -> bool {
         matches!(self, Answer::NotAccepted | Answer::Superseded)
     }
 }
 
-/// From an edge.
+/// A message from an edge.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromEdge {
-    /// It lives.
+    /// A heartbeat with a report.
     Report(Box<EdgeReport>),
-    /// What it routes by, thing by thing, as it was asked for.
+    /// The hash of each item in its routing state, sent on request.
     LeafHashes(LeafHashes),
 }
 
-/// What an edge says of itself with a beat.
+/// The report in a heartbeat of an edge.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EdgeReport {
-    /// Who it is.
+    /// The status of the edge.
     pub edge: EdgeStatus,
-    /// The last entry that it has folded.
+    /// The last log entry that it has applied.
     pub index: u64,
-    /// What it sees of the trials under way.
+    /// What it observed of the active trials.
     pub reports: Vec<TrialReport>,
-    /// What it met at hosts.
+    /// What it observed of marshals.
     pub observed: Vec<HostObservation>,
-    /// What it routes by, about once a second.
+    /// The digest of its routing state, about once per second.
     pub table_digest: Option<TableDigest>,
-    /// A decision of its own, now and then.
+    /// An occasional sample of its routing decisions.
     pub sample: Option<Sample>,
 }
 
-/// To an edge.
+/// A message to an edge.
 #[allow(missing_docs)] // each variant's line says what its fields are
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToEdge {
-    /// The whole state, packed against nothing.
+    /// The whole state, compressed without a reference.
     Snapshot(Vec<u8>),
-    /// The whole state in place of the one it has, to make all tables anew.
+    /// The whole state, with which the edge replaces its own and rebuilds all tables.
     Rebuild(Vec<u8>),
-    /// Another step to bring it back.
+    /// Another repair step.
     Repair(Step),
-    /// What does it route by, thing by thing?
+    /// Asks for the hash of each item in its routing state.
     LeafHashes,
-    /// Entries in order, each with its index.
+    /// Log entries in order, each with its index.
     Entries(Vec<(u64, Vec<u8>)>),
-    /// The core lives. `leader_contact`: it hears its leader; `cores`: all machines of the core; `edges`: how many take traffic;
-    /// `loads`: of hosts, as far as they are new.
+    /// A heartbeat of the core machine. `leader_contact` tells whether it hears its leader, `cores` lists all core machines,
+    /// `edges` is the number of edges that accept traffic, and `loads` holds the loads of marshals that have changed.
     Heartbeat { leader_contact: bool, index: u64, cores: Vec<MemberId>, edges: u32, loads: Vec<(u32, u16)> },
 }
 
-/// The internal address of a core machine.
+/// Returns the internal address of a core machine.
 pub fn internal_address(id: MemberId, port: u16) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::from_bits(id), port)
 }
 
-/// A connection that notices a peer that says nothing: unacknowledged bytes end it after `patience`.
-pub async fn connect(to: SocketAddrV4, patience: Duration) -> Result<TcpStream, Error> {
+/// Connects to `to` within `timeout`, and configures the connection with [`configure_stream`].
+pub async fn connect(to: SocketAddrV4, timeout: Duration) -> Result<TcpStream, Error> {
     let stream =
-        tokio::time::timeout(patience, TcpStream::connect(to)).await.map_err(|_| ErrorKind::TimedOut)??;
-    configure_stream(&stream, patience)?;
+        tokio::time::timeout(timeout, TcpStream::connect(to)).await.map_err(|_| ErrorKind::TimedOut)??;
+    configure_stream(&stream, timeout)?;
     Ok(stream)
 }
 
-/// Sets what every connection of the system has: no delay, and an end when a peer says nothing.
-pub fn configure_stream(stream: &TcpStream, patience: Duration) -> Result<(), Error> {
+/// Sets the options that all connections of the system have: no delay, keep-alive probes, and `timeout` as the limit for
+/// unacknowledged bytes.
+pub fn configure_stream(stream: &TcpStream, timeout: Duration) -> Result<(), Error> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
-    // Also while nothing is on its way: a peer without power is noticed by whoever waits for its answer.
+    // The probes detect a peer that has lost power while no bytes are in flight, for example while waiting for an answer.
     let probes =
         socket2::TcpKeepalive::new().with_time(Duration::from_secs(1)).with_interval(Duration::from_secs(1));
     socket.set_tcp_keepalive(&probes)?;
-    set_unacknowledged_timeout(stream, patience)
+    set_unacknowledged_timeout(stream, timeout)
 }
 
-/// Ends a connection whose sent bytes its peer has not acknowledged for so long. The time in which a live peer's window is
-/// closed, since it does not read, counts as well.
-pub fn set_unacknowledged_timeout(stream: &TcpStream, bound: Duration) -> Result<(), Error> {
-    socket2::SockRef::from(stream).set_tcp_user_timeout(Some(bound))
+/// Closes a connection once sent bytes remain unacknowledged for `timeout`. The time during which the window of a live peer is
+/// closed, because it does not read, counts as well.
+pub fn set_unacknowledged_timeout(stream: &TcpStream, timeout: Duration) -> Result<(), Error> {
+    socket2::SockRef::from(stream).set_tcp_user_timeout(Some(timeout))
 }
 
-/// Serves a process's metrics on the machine's own address. Where the port can't be had, the process goes on without them.
+/// Serves the metrics of a process on the address of its machine. If the port cannot be bound, the process runs without
+/// metrics.
 pub async fn serve_metrics(own: MemberId, endpoint: Endpoint, text: impl Fn() -> String + 'static) {
     match TcpListener::bind(internal_address(own, endpoint.port)).await {
         Ok(listener) => milletwing_metrics::serve(listener, endpoint.path, text).await,
-        Err(problem) => event!(MetricsUnavailable, "{endpoint}: {problem}"),
+        Err(error) => event!(MetricsUnavailable, "{endpoint}: {error}"),
     }
 }
 
-/// A message as a frame: its length in four bytes, then the message.
+/// Encodes a message as a frame: its length in four bytes, followed by the message.
 pub fn encode_frame<T: Serialize>(message: &T) -> Vec<u8> {
-    let mut out = postcard::to_extend(message, vec![0; 4]).unwrap_or_default(); // plain values can't fail
+    let mut out = postcard::to_extend(message, vec![0; 4]).unwrap_or_default(); // encoding plain values into memory cannot fail
     let length = (out.len().saturating_sub(4)) as u32;
     if let Some(head) = out.get_mut(..4) {
         head.copy_from_slice(&length.to_be_bytes());
@@ -200,14 +206,18 @@
     out
 }
 
-/// Reads a frame. Not to be given up half way. Errors: the connection's, or `InvalidData`.
+/// Reads a frame. Not cancellation-safe: a dropped future loses the bytes it has read.
+///
+/// # Errors
+///
+/// Errors of the connection; `InvalidData` if the frame is too long or is not a message of type `T`.
 pub async fn read_frame<T: DeserializeOwned>(from: &mut (impl AsyncRead + Unpin)) -> Result<T, Error> {
     let length = from.read_u32().await? as usize;
     if length > MAX_FRAME_BYTES {
         return Err(ErrorKind::InvalidData.into());
     }
     let mut bytes = Vec::new();
-    // Grows as bytes come: a length alone reserves nothing.
+    // The buffer grows as bytes arrive, so that a peer cannot reserve memory by sending a length alone.
     from.take(length as u64).read_to_end(&mut bytes).await?;
     if bytes.len() < length {
         return Err(ErrorKind::UnexpectedEof.into());
@@ -221,24 +231,28 @@
     to.flush().await
 }
 
-/// Looks at the settings file once a second, and hands it over whenever it has changed, with a signal or without one. One
-/// that is missing or can't be read changes nothing.
-pub async fn watch_settings(path: PathBuf, mut take: impl FnMut(Settings)) {
-    let mut before = std::fs::read_to_string(&path).ok();
+/// Reads the settings file once per second and calls `apply` with new settings whenever the file has changed. A file that is
+/// missing or invalid leaves the current settings in place.
+pub async fn watch_settings(path: PathBuf, mut apply: impl FnMut(Settings)) {
+    let mut previous = std::fs::read_to_string(&path).ok();
     loop {
         tokio::time::sleep(Duration::from_secs(1)).await;
         let text = std::fs::read_to_string(&path).ok();
-        if text == before {
+        if text == previous {
             continue;
         }
         match text.as_deref().map(Settings::parse) {
             Some(Ok(settings)) => {
-                take(settings);
+                apply(settings);
                 event!(SettingsRead, "{}", path.display());
             }
-            Some(Err(problem)) => event!(BadSettings, "{}: {problem}; the earlier ones stay", path.display()),
-            None => event!(BadSettings, "{}: it can't be read; the earlier ones stay", path.display()),
+            Some(Err(error)) => {
+                event!(BadSettings, "{}: {error}; keeping the current settings", path.display())
+            }
+            None => {
+                event!(BadSettings, "{}: cannot read the file; keeping the current settings", path.display())
+            }
         }
-        before = text;
+        previous = text;
     }
 }
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames on streams in memory, and settings that are read again.
+//! Tests frames on in-memory streams, and the watching of the settings file.
 
 use milletwing_config::Settings;
 use milletwing_wire::{
@@ -16,20 +16,20 @@
     tokio::task::LocalSet::new().block_on(&runtime.unwrap(), test);
 }
 
-fn pulse() -> ToEdge {
+fn heartbeat() -> ToEdge {
     ToEdge::Heartbeat { leader_contact: true, index: 9, cores: vec![1, 2, 3], edges: 8, loads: vec![(7, 3)] }
 }
 
 #[test]
-fn messages_come_out_as_they_went_in_however_the_bytes_come() {
-    for piece in [1, 2, 3, 5, 1_000] {
+fn messages_are_received_as_sent_whatever_the_size_of_the_chunks() {
+    for chunk_size in [1, 2, 3, 5, 1_000] {
         run(async move {
             let (mut near, mut far) = duplex(64);
-            let sent = vec![pulse(), ToEdge::LeafHashes, ToEdge::Entries(vec![(4, vec![1; 500])])];
+            let sent = vec![heartbeat(), ToEdge::LeafHashes, ToEdge::Entries(vec![(4, vec![1; 500])])];
             let bytes: Vec<u8> = sent.iter().flat_map(encode_frame).collect();
             let sending = tokio::task::spawn_local(async move {
-                for part in bytes.chunks(piece) {
-                    write_frame(&mut near, part).await.unwrap();
+                for chunk in bytes.chunks(chunk_size) {
+                    write_frame(&mut near, chunk).await.unwrap();
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
             });
@@ -43,29 +43,32 @@
 }
 
 #[test]
-fn a_frame_cut_at_any_byte_is_no_message() {
-    let bytes = encode_frame(&pulse());
-    for cut in 0..bytes.len() {
-        let part = bytes[..cut].to_vec();
+fn a_frame_truncated_at_any_byte_is_refused() {
+    let bytes = encode_frame(&heartbeat());
+    for length in 0..bytes.len() {
+        let part = bytes[..length].to_vec();
         run(async move {
-            let problem = read_frame::<ToEdge>(&mut part.as_slice()).await.unwrap_err();
-            assert_eq!(problem.kind(), ErrorKind::UnexpectedEof, "cut at {cut}");
+            let error = read_frame::<ToEdge>(&mut part.as_slice()).await.unwrap_err();
+            assert_eq!(error.kind(), ErrorKind::UnexpectedEof, "truncated to {length} bytes");
         });
     }
 }
 
 #[test]
-fn a_length_beyond_any_frame_is_refused_before_its_bytes_are_waited_for() {
+fn an_excessive_length_is_refused_without_waiting_for_its_bytes() {
     run(async {
         let (mut near, mut far) = duplex(64);
         near.write_u32(MAX_FRAME_BYTES as u32 + 1).await.unwrap();
         let refused = tokio::time::timeout(Duration::from_secs(5), read_frame::<ToEdge>(&mut far)).await;
-        assert_eq!(refused.expect("it waits").unwrap_err().kind(), ErrorKind::InvalidData);
+        assert_eq!(
+            refused.expect("the reader waits for the bytes").unwrap_err().kind(),
+            ErrorKind::InvalidData
+        );
     });
 }
 
 #[test]
-fn bytes_of_another_message_are_refused() {
+fn a_frame_of_another_message_type_is_refused() {
     run(async {
         let other = encode_frame(&Greeting::Core(7));
         assert_eq!(
@@ -76,7 +79,7 @@
 }
 
 #[test]
-fn settings_that_change_are_taken_and_those_that_can_not_be_read_change_nothing() {
+fn changed_settings_are_applied_and_unreadable_ones_are_ignored() {
     let text = |name: &str| {
         format!("[self]\nnodeName = \"{name}\"\nipAddress = \"10.0.0.9\"\nzone = \"a\"\nregion = \"north\"\n[network]\ninternalPorts = [7540, 7555]\n")
     };
@@ -84,11 +87,11 @@
     std::fs::write(&path, text("first")).unwrap();
     let watched = path.clone();
     run(async move {
-        let taken: Rc<RefCell<Vec<String>>> = Rc::default();
-        let noted = Rc::clone(&taken);
-        let take = move |settings: Settings| noted.borrow_mut().push(settings.own.node_name);
-        tokio::task::spawn_local(watch_settings(watched.clone(), take));
-        // The watcher looks once a second of the test's clock.
+        let applied: Rc<RefCell<Vec<String>>> = Rc::default();
+        let recorder = Rc::clone(&applied);
+        let apply = move |settings: Settings| recorder.borrow_mut().push(settings.own.node_name);
+        tokio::task::spawn_local(watch_settings(watched.clone(), apply));
+        // The watcher reads the file once per second of the simulated clock.
         for text in [text("first"), text("second"), "no settings".into(), text("second"), text("third")] {
             tokio::time::sleep(Duration::from_millis(1_500)).await;
             std::fs::write(&watched, text).unwrap();
@@ -96,7 +99,7 @@
         tokio::time::sleep(Duration::from_millis(1_500)).await;
         std::fs::remove_file(&watched).unwrap();
         tokio::time::sleep(Duration::from_millis(3_000)).await;
-        // Back to what stood before something unreadable: that is a change of the file, and taken again.
-        assert_eq!(*taken.borrow(), ["second", "second", "third"]);
+        // Restoring the content from before the unreadable one is a change of the file, so it is applied again.
+        assert_eq!(*applied.borrow(), ["second", "second", "third"]);
     });
 }
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -1,6 +1,6 @@
-//! Bytes from outside, drawn from sound ones by changes at random: whatever comes, a reader says no or takes it, in bounded memory,
-//! and never ends the process. `FUZZ_SECONDS=600 cargo test --release -p milletwing-wire --test fuzz` goes on for so long on each
-//! reader; a failure prints its input.
+//! Fuzz tests of all decoders of external bytes. Inputs are random mutations of valid ones. A decoder accepts or refuses each of
+//! them in bounded memory and never panics. `FUZZ_SECONDS=600 cargo test --release -p milletwing-wire --test fuzz` fuzzes each
+//! decoder for that long; a failure prints its input.
 
 use milletwing_config::{Configuration, Settings};
 use milletwing_consensus::{
@@ -18,7 +18,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::time::{Duration, Instant};
 
-/// Inputs of each reader in an ordinary run.
+/// The number of inputs per decoder when `FUZZ_SECONDS` is not set.
 const INPUTS: u64 = 4_000;
 
 const CONFIGURATION: &str = r#"{"revision":7,"routing":{"r":{"domain":"h.example","pathPrefix":"/a/","trafficClass":"idempotent",
@@ -32,41 +32,41 @@
 const BEAT: &str = r#"{"target":"s","address":"10.0.0.9:80","zone":"a","revision":"v1","capacity":2,"state":"available",
     "warmupLeftS":0.5,"callCounter":4}"#;
 
-/// Changes sound bytes a little: bits, cuts, bytes put in, pieces doubled or moved, lengths at their ends.
-fn spoil(chance: &mut Pcg64Mcg, sound: &[Vec<u8>]) -> Vec<u8> {
-    let mut bytes = sound[chance.random_range(0..sound.len())].clone();
-    for _ in 0..chance.random_range(1..6) {
-        let at = chance.random_range(0..=bytes.len());
-        match chance.random_range(0..7) {
-            0 if at < bytes.len() => bytes[at] ^= 1 << chance.random_range(0..8),
+/// Mutates a valid input: flips bits, truncates, inserts bytes, duplicates or splices ranges, and inserts extreme lengths.
+fn mutate(rng: &mut Pcg64Mcg, valid: &[Vec<u8>]) -> Vec<u8> {
+    let mut bytes = valid[rng.random_range(0..valid.len())].clone();
+    for _ in 0..rng.random_range(1..6) {
+        let at = rng.random_range(0..=bytes.len());
+        match rng.random_range(0..7) {
+            0 if at < bytes.len() => bytes[at] ^= 1 << rng.random_range(0..8),
             1 => bytes.truncate(at),
-            2 => bytes.insert(at, chance.random()),
-            3 if at < bytes.len() => bytes[at] = [0, 1, 0x7f, 0x80, 0xff][chance.random_range(0..5)],
+            2 => bytes.insert(at, rng.random()),
+            3 if at < bytes.len() => bytes[at] = [0, 1, 0x7f, 0x80, 0xff][rng.random_range(0..5)],
             4 => {
-                let to = chance.random_range(at..=bytes.len());
+                let to = rng.random_range(at..=bytes.len());
                 let piece = bytes[at..to].to_vec();
                 bytes.extend(piece);
             }
             5 => {
-                let other = &sound[chance.random_range(0..sound.len())];
-                let from = chance.random_range(0..=other.len());
+                let other = &valid[rng.random_range(0..valid.len())];
+                let from = rng.random_range(0..=other.len());
                 bytes.truncate(at);
                 bytes.extend(&other[from..]);
             }
-            // A number as long as one can be, where a length may stand.
+            // The longest encoding of a number, in a place where a length may be.
             _ => drop(bytes.splice(at..at, [0xff; 9].into_iter().chain([1]))),
         }
     }
     bytes
 }
 
-fn fuzz(name: &str, sound: &[Vec<u8>], reader: impl Fn(&[u8])) {
-    let seconds = std::env::var("FUZZ_SECONDS").ok().and_then(|it| it.parse().ok());
+fn fuzz(name: &str, valid: &[Vec<u8>], decode: impl Fn(&[u8])) {
+    let seconds = std::env::var("FUZZ_SECONDS").ok().and_then(|value| value.parse().ok());
     let end = seconds.map(|seconds| Instant::now() + Duration::from_secs(seconds));
     let mut seed = 0;
     while end.map_or(seed < INPUTS, |end| Instant::now() < end) {
-        let bytes = spoil(&mut Pcg64Mcg::seed_from_u64(seed), sound);
-        if catch_unwind(AssertUnwindSafe(|| reader(&bytes))).is_err() {
+        let bytes = mutate(&mut Pcg64Mcg::seed_from_u64(seed), valid);
+        if catch_unwind(AssertUnwindSafe(|| decode(&bytes))).is_err() {
             panic!("{name}, input {seed}: {bytes:02x?}");
         }
         seed += 1;
@@ -86,7 +86,7 @@
     }
 }
 
-fn heard() -> EdgeStatus {
+fn edge_status() -> EdgeStatus {
     EdgeStatus {
         id: 9,
         zone: "a".into(),
@@ -159,32 +159,32 @@
 }
 
 #[test]
-fn frames_among_machines() {
+fn internal_frames() {
     let call = CallId { incarnation: 7, number: 5 };
     let request = CoreRequest::Evacuate { order: 1, seen: 2, zone: "a".into(), on: true };
     let beat = CoreRequest::Beat { id: "i-1".into(), beat: Beat::parse(BEAT.as_bytes()).unwrap() };
-    let said = EdgeReport {
-        edge: heard(),
+    let report = EdgeReport {
+        edge: edge_status(),
         index: 3,
         reports: Vec::new(),
         observed: vec![HostObservation::default()],
         table_digest: None,
         sample: None,
     };
-    let mut sound = vec![
+    let mut valid = vec![
         encode_frame(&Greeting::Core(5)),
-        encode_frame(&Greeting::Edge(heard(), 8)),
+        encode_frame(&Greeting::Edge(edge_status(), 8)),
         encode_frame(&PeerMessage::Call { call, request }),
         encode_frame(&PeerMessage::Call { call, request: beat }),
         encode_frame(&PeerMessage::Reply { call, answer: Answer::Refused(412, "stale".into()) }),
         encode_frame(&PeerMessage::Gossip {
             nodes: vec!["i-1".into()],
-            edges: vec![(heard(), 40)],
+            edges: vec![(edge_status(), 40)],
             heartbeats: Vec::new(),
         }),
         encode_frame(&PeerMessage::Observed(vec![(9, 10, vec![HostObservation::default()])])),
         encode_frame(&FromEdge::LeafHashes(LeafHashes::default())),
-        encode_frame(&FromEdge::Report(Box::new(said))),
+        encode_frame(&FromEdge::Report(Box::new(report))),
         encode_frame(&ToEdge::Snapshot(view().to_compressed())),
         encode_frame(&ToEdge::Entries(vec![(3, commands()[1].to_bytes())])),
         encode_frame(&ToEdge::Heartbeat {
@@ -195,9 +195,9 @@
             loads: vec![(4, 5)],
         }),
     ];
-    sound.extend(messages().into_iter().map(|message| encode_frame(&PeerMessage::Consensus(message))));
+    valid.extend(messages().into_iter().map(|message| encode_frame(&PeerMessage::Consensus(message))));
     let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
-    fuzz("frames", &sound, |bytes| {
+    fuzz("frames", &valid, |bytes| {
         runtime.block_on(async {
             let _ = read_frame::<Greeting>(&mut &bytes[..]).await;
             let _ = read_frame::<PeerMessage>(&mut &bytes[..]).await;
@@ -220,18 +220,19 @@
     }
 }
 
-/// What a machine of the core takes from another that has gone mad: it may be led astray, but it goes on.
+/// A faulty core machine may mislead another with arbitrary messages, but must not crash it.
 #[test]
-fn messages_of_the_agreement() {
-    let sound: Vec<Vec<u8>> = messages().iter().map(|it| postcard::to_stdvec(it).unwrap()).collect();
-    fuzz("messages", &sound, |bytes| {
+fn consensus_messages() {
+    let valid: Vec<Vec<u8>> =
+        messages().iter().map(|message| postcard::to_stdvec(message).unwrap()).collect();
+    fuzz("messages", &valid, |bytes| {
         let Ok(message) = postcard::from_bytes::<Message>(bytes) else { return };
-        for leads in [false, true] {
+        for is_leader in [false, true] {
             let founders = [1, 2, 3];
             let mut member =
                 Member::new(options(1), &StoredState::default(), Some(&founders), &founders, 0).unwrap();
             let mut now = 0;
-            while leads && member.role() != Role::Leader {
+            while is_leader && member.role() != Role::Leader {
                 now += 50;
                 member.tick(now);
                 for pre_vote in [true, false] {
@@ -241,8 +242,8 @@
             }
             for from in [2, 3, 9] {
                 member.step(now, from, message.clone());
-                while let Some(work) = member.take_ready() {
-                    member.on_persisted(now, work.last);
+                while let Some(ready) = member.take_ready() {
+                    member.on_persisted(now, ready.last);
                 }
                 member.take_committed();
                 member.take_restored_state();
@@ -254,7 +255,7 @@
 }
 
 #[test]
-fn what_a_disk_gives_back() {
+fn stored_state() {
     let data = view().to_compressed();
     let snapshot = milletwing_consensus::log::Snapshot { last: (1, 1), members: vec![1, 2, 3], data };
     let entry = Entry { term: 1, index: 2, payload: Payload::Data(commands()[1].to_bytes()) };
@@ -264,13 +265,13 @@
         vec![3, 1, 2, 0, 0, 1],
     ];
     fuzz("disk", &parts, |bytes| {
-        for part in 0..3 {
+        for corrupted in 0..3 {
             let mut stored = StoredState {
                 hard_state: None,
                 entries: vec![parts[1].clone()],
                 snapshot: Some(parts[0].clone()),
             };
-            match part {
+            match corrupted {
                 0 => stored.snapshot = Some(bytes.to_vec()),
                 1 => stored.entries.push(bytes.to_vec()),
                 _ => stored.hard_state = Some(bytes.to_vec()),
@@ -282,10 +283,10 @@
 }
 
 #[test]
-fn states_and_entries() {
-    let mut sound: Vec<Vec<u8>> = commands().iter().map(Command::to_bytes).collect();
-    sound.push(view().to_compressed());
-    fuzz("states and entries", &sound, |bytes| {
+fn states_and_log_entries() {
+    let mut valid: Vec<Vec<u8>> = commands().iter().map(Command::to_bytes).collect();
+    valid.push(view().to_compressed());
+    fuzz("states and entries", &valid, |bytes| {
         let _ = View::from_compressed(bytes);
         if let Ok(command) = Command::from_bytes(bytes) {
             let mut view = view();
@@ -296,9 +297,9 @@
 }
 
 #[test]
-fn beats_configurations_and_settings() {
-    let sound = [BEAT, CONFIGURATION, SETTINGS].map(|text| text.as_bytes().to_vec());
-    fuzz("beats, configurations and settings", &sound, |bytes| {
+fn heartbeats_configurations_and_settings() {
+    let valid = [BEAT, CONFIGURATION, SETTINGS].map(|text| text.as_bytes().to_vec());
+    fuzz("beats, configurations and settings", &valid, |bytes| {
         let _ = Beat::parse(bytes);
         if Configuration::parse(bytes).is_ok() {
             let command = View::default().configure_command(7, bytes).unwrap();
