--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -1,53 +1,56 @@
-//! Further tries of one service, over a window that slides: this edge's part of what all edges may do together. The part
-//! rests on this edge's own requests, so that it holds whatever the others do.
+//! A budget over a sliding window: this edge's share of what all edges together may do, such as
+//! retries. The share depends only on this edge's own requests, so it holds whatever the other
+//! edges do.
 
 use crate::Time;
 use std::collections::VecDeque;
 
-/// Parts of the window that are counted one by one.
-const PARTS: u64 = 20;
+/// Number of slots that the window is divided into.
+const SLOTS: u64 = 20;
 
-/// What is counted.
+/// Counts requests and the extra actions taken on their account over a sliding window.
 #[derive(Debug)]
 pub struct Budget {
     window: Time,
-    /// For each part of the window: when it began, requests, further tries.
-    parts: VecDeque<(Time, f64, f64)>,
+    /// For each slot: its start, the requests, and the budgeted actions taken.
+    slots: VecDeque<(Time, f64, f64)>,
 }
 
 impl Budget {
-    /// Over so many milliseconds.
+    /// Creates a budget over a window of `window` milliseconds.
     pub fn new(window: Time) -> Budget {
-        Budget { window: window.max(PARTS), parts: VecDeque::new() }
+        Budget { window: window.max(SLOTS), slots: VecDeque::new() }
     }
 
-    fn part(&mut self, now: Time) -> &mut (Time, f64, f64) {
-        let step = self.window / PARTS;
-        let begin = now - now % step;
-        // One part more than the window, so that every span of its length is covered.
-        while self.parts.front().is_some_and(|(at, ..)| at + self.window + step <= begin) {
-            self.parts.pop_front();
+    fn slot(&mut self, now: Time) -> &mut (Time, f64, f64) {
+        let slot_length = self.window / SLOTS;
+        let slot_start = now - now % slot_length;
+        // Keeps one slot more than the window, so that every span of the window's length is
+        // covered.
+        while self.slots.front().is_some_and(|(start, ..)| start + self.window + slot_length <= slot_start) {
+            self.slots.pop_front();
         }
-        if self.parts.back().is_none_or(|(at, ..)| *at < begin) {
-            self.parts.push_back((begin, 0.0, 0.0));
+        if self.slots.back().is_none_or(|(start, ..)| *start < slot_start) {
+            self.slots.push_back((slot_start, 0.0, 0.0));
         }
-        let last = self.parts.len() - 1;
-        &mut self.parts[last]
+        let last = self.slots.len() - 1;
+        &mut self.slots[last]
     }
 
-    /// A request came.
-    pub fn request(&mut self, now: Time) {
-        self.part(now).1 += 1.0;
+    /// Counts a request.
+    pub fn record_request(&mut self, now: Time) {
+        self.slot(now).1 += 1.0;
     }
 
-    /// Whether one more sending is within `ratio` of the requests and `slack`; counts it if so.
-    pub fn take(&mut self, now: Time, ratio: f64, slack: f64) -> bool {
-        self.part(now);
-        let requests: f64 = self.parts.iter().map(|part| part.1).sum();
-        let tries: f64 = self.parts.iter().map(|part| part.2).sum();
-        let within = tries + 1.0 <= ratio * requests + slack;
+    /// Whether one more action stays within `ratio` of the requests plus `slack`; counts the action
+    /// if so.
+    pub fn try_take(&mut self, now: Time, ratio: f64, slack: f64) -> bool {
+        self.slot(now);
+        let requests: f64 = self.slots.iter().map(|slot| slot.1).sum();
+        let taken: f64 = self.slots.iter().map(|slot| slot.2).sum();
+        let within = taken + 1.0 <= ratio * requests + slack;
         if within {
-            self.part(now).2 += 1.0;
+            self.slot(now).2 += 1.0;
         }
         within
     }
--- a/crates/routing/src/canary.rs
+++ b/crates/routing/src/canary.rs
@@ -1,49 +1,53 @@
-//! Which marshals of a version on trial bear its part of the traffic.
+//! Selects the marshals that serve the traffic of a version on trial.
 //!
-//! A small part spread over all of them would load none, and a fault that only shows under load would show when everything runs
-//! there. So as few bear the part as can do so with a load that any marshal of the service may come to have.
+//! A small share of traffic spread over all marshals of the new version would load none of them,
+//! and a fault that only shows under load would appear only after the full roll-out. The share
+//! therefore goes to as few marshals as can serve it at a load that any marshal of the service may
+//! reach.
 
 use crate::marshal::Marshal;
 
-/// The part of its capacity that a canary should work on: above what most marshals work on in usual times, and short of what makes
-/// requests wait.
+/// Target load of a canary as a fraction of its capacity: above the usual load of most marshals,
+/// and below the point where requests start to queue.
 const CANARY_LOAD: f64 = 0.5;
 
-/// The marshals of a version on trial that are open and warm, and how many of them bear its traffic.
+/// The eligible, warm marshals of a version on trial, and how many of them serve its traffic.
 #[derive(Debug, Default)]
 pub struct Canaries {
-    order: Vec<u64>,
+    keys: Vec<u64>,
     count: usize,
 }
 
 impl Canaries {
-    /// Of the marshals of one service. `part`: of the service's requests, those that may go to the new version. `load`: the part of
-    /// its capacity that a marshal of the service works on, on average.
+    /// Selects among the marshals of one service. `traffic_share` is the share of the service's requests
+    /// that may go to the new version; `load` is the mean load of the service's marshals as a
+    /// fraction of their capacity.
     pub fn choose<'a>(
         marshals: impl Iterator<Item = (&'a u64, &'a Marshal)>,
-        part: f64,
+        traffic_share: f64,
         load: f64,
     ) -> Canaries {
         let (mut capacity, mut candidates) = (0.0, Vec::new());
-        for (key, marshal) in marshals.filter(|(_, marshal)| marshal.open && marshal.part.is_none()) {
+        for (key, marshal) in marshals.filter(|(_, marshal)| marshal.eligible && marshal.cold_limit.is_none())
+        {
             capacity += marshal.capacity;
-            if marshal.new {
+            if marshal.on_trial {
                 candidates.push((marshal, *key));
             }
         }
-        // All edges that know the same marshals choose the same ones.
+        // Sorted by id, so that all edges that know the same marshals choose the same canaries.
         candidates.sort_unstable_by(|(one, _), (other, _)| one.id.cmp(&other.id));
-        let each = candidates.iter().map(|(marshal, _)| marshal.capacity).sum::<f64>()
+        let mean_capacity = candidates.iter().map(|(marshal, _)| marshal.capacity).sum::<f64>()
             / (candidates.len() as f64).max(1.0);
-        let by_load = part * load * capacity / (CANARY_LOAD * each.max(1.0));
-        // With so many, each bears what it will bear when everything runs there.
-        let by_part = part * candidates.len() as f64;
-        let count = by_load.min(by_part).ceil().max(1.0) as usize;
-        Canaries { order: candidates.into_iter().map(|(_, key)| key).collect(), count }
+        let by_load = traffic_share * load * capacity / (CANARY_LOAD * mean_capacity.max(1.0));
+        // With this many, each canary bears the load that it will bear after the full roll-out.
+        let by_share = traffic_share * candidates.len() as f64;
+        let count = by_load.min(by_share).ceil().max(1.0) as usize;
+        Canaries { keys: candidates.into_iter().map(|(_, key)| key).collect(), count }
     }
 
-    /// The first of them that a request may go to.
-    pub fn of(&self, may: impl Fn(u64) -> bool) -> Vec<u64> {
-        self.order.iter().copied().filter(|key| may(*key)).take(self.count).collect()
+    /// The canaries among the marshals that pass the filter.
+    pub fn select(&self, is_allowed: impl Fn(u64) -> bool) -> Vec<u64> {
+        self.keys.iter().copied().filter(|key| is_allowed(*key)).take(self.count).collect()
     }
 }
--- a/crates/routing/src/expected_state.rs
+++ b/crates/routing/src/expected_state.rs
@@ -1,65 +1,67 @@
-//! What an edge is to route by, in the same words as what it does route by: `export_shared` from the state that was agreed, and
-//! [`Router::export_state`](crate::Router::export_state) from the tables in use.
+//! The routing state that an edge should have according to the agreed state. It is exported in the
+//! same format as the state in use, which [`Router::export_state`](crate::Router::export_state)
+//! writes, so that the two can be compared for drift.
 
 use milletwing_drift_detection::{Part, Sink};
 use milletwing_replicated_state::{Phase, State, View};
 use std::collections::BTreeSet;
 
-/// A marshal's life.
+/// Exports one marshal instance.
 pub fn export_marshal(
     sink: &mut impl Sink,
     id: &str,
     service: &str,
     address: std::net::SocketAddrV4,
-    (open, new, cold): (bool, bool, bool),
+    (eligible, on_trial, cold): (bool, bool, bool),
 ) {
-    let flags = [u8::from(open), u8::from(new), u8::from(cold)];
+    let flags = [u8::from(eligible), u8::from(on_trial), u8::from(cold)];
     let port = address.port().to_be_bytes();
     sink.leaf(Part::Hosts, id, &[service.as_bytes(), &address.ip().octets(), &port, &flags]);
 }
 
-/// What an edge may send to a cold marshal in any second.
-pub fn export_cold_limit(sink: &mut impl Sink, id: &str, part: u32) {
-    if part > 0 {
-        sink.leaf(Part::Deals, id, &[&part.to_be_bytes()]);
+/// Exports the number of requests per second that an edge may send to a cold marshal.
+pub fn export_cold_limit(sink: &mut impl Sink, id: &str, limit: u32) {
+    if limit > 0 {
+        sink.leaf(Part::Deals, id, &[&limit.to_be_bytes()]);
     }
 }
 
-/// A trial's stage.
+/// Exports the stage of a trial.
 pub fn export_trial(sink: &mut impl Sink, service: &str, number: u64, stage: u32) {
     sink.leaf(Part::Trials, service, &[&number.to_be_bytes(), &stage.to_be_bytes()]);
 }
 
-/// All but the routes and the deals, as they were agreed.
+/// Exports the agreed state that is the same for all edges, apart from the routes: marshals and
+/// trials.
 pub fn export_shared(view: &View, sink: &mut impl Sink) {
     let mut services = BTreeSet::new();
     for (id, node) in &view.nodes {
-        let (open, new) = view.standing(node);
+        let (eligible, on_trial) = view.standing(node);
         export_marshal(
             sink,
             id,
             &node.target,
             node.address,
-            (open, new, matches!(node.phase, Phase::Cold(_))),
+            (eligible, on_trial, matches!(node.phase, Phase::Cold(_))),
         );
         services.insert(node.target.as_str());
     }
-    for (service, roll) in &view.rollouts {
-        // An edge that knows no marshal of a service holds no trial of it.
-        if roll.state == State::Active && services.contains(service.as_str()) {
-            export_trial(sink, service, roll.number, roll.stage);
+    for (service, rollout) in &view.rollouts {
+        // An edge that knows no marshal of a service has no trial for it.
+        if rollout.state == State::Active && services.contains(service.as_str()) {
+            export_trial(sink, service, rollout.number, rollout.stage);
         }
     }
 }
 
-/// The deals of one edge, as they were agreed.
+/// Exports the agreed limits for cold marshals of one edge.
 pub fn export_cold_limits(view: &View, edge: u32, sink: &mut impl Sink) {
     for (id, node) in &view.nodes {
-        if let Phase::Cold(dealt) = &node.phase {
+        if let Phase::Cold(limits) = &node.phase {
             export_cold_limit(
                 sink,
                 id,
-                dealt.iter().find(|(whom, _)| *whom == edge).map_or(0, |(_, part)| *part),
+                limits.iter().find(|(limited_edge, _)| *limited_edge == edge).map_or(0, |(_, limit)| *limit),
             );
         }
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,8 +1,10 @@
-//! What an edge decides for each request. No I/O: what arrived, what came of each sending and the time go in; a marshal to
-//! send to or the kind of an answer comes out.
+//! The routing decisions of an edge proxy, without I/O. Requests, attempt outcomes and the current
+//! time go in; a marshal to send to, or the kind of a refusal, comes out.
 //!
-//! `table` finds the route, `tenants` whose key a request bears, `marshal` is what is known of one marshal, `budget` counts further tries, `trial` is a version on trial, `canary` which marshals
-//! bear its traffic, `expected_state` what it all should be, and `router` puts them together: pick, try again, or refuse.
+//! `table` finds the route of a request and `tenants` the tenant of its API key. `marshal` holds
+//! what is known of one marshal, `budget` limits retries, `trial` tracks a version on trial and
+//! `canary` selects the marshals that serve it. `expected_state` exports the state that an edge
+//! should have, and `router` combines all of them.
 
 pub mod budget;
 pub mod canary;
@@ -16,5 +18,5 @@
 pub use marshal::{AttemptOutcome, Load};
 pub use router::{Attempt, Location, Probe, RequestHead, RoutedRequest, Router};
 
-/// Milliseconds of a steady clock that is the driver's.
+/// Milliseconds of a monotonic clock that the caller provides.
 pub type Time = u64;
--- a/crates/routing/src/marshal.rs
+++ b/crates/routing/src/marshal.rs
@@ -1,4 +1,5 @@
-//! What an edge knows of one marshal: its place, its load as told and as observed, how fast it is, how often it fails.
+//! What an edge knows of one marshal: location, reported and observed load, latency and failure
+//! rate.
 
 use crate::Time;
 use milletwing_outlier_detection::{host_key, HostObservation};
@@ -7,7 +8,7 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-/// A marshal's word on its load.
+/// Load that a marshal reports with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
     /// Requests running.
@@ -17,87 +18,92 @@
 }
 
 impl Load {
-    /// From `running,waiting,slots`.
+    /// Parses a `running,waiting,slots` header value; the slots are ignored.
     pub fn parse(text: &str) -> Option<Load> {
-        let mut parts = text.split(',').map(|part| part.trim().parse().ok());
-        Some(Load { running: parts.next()??, waiting: parts.next()?? })
+        let mut fields = text.split(',').map(|field| field.trim().parse().ok());
+        Some(Load { running: fields.next()??, waiting: fields.next()?? })
     }
 }
 
-/// What came of one sending.
+/// Outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// A whole answer.
+    /// A complete response.
     Served,
-    /// An answer of its own that tells of a failure: it ran.
+    /// The marshal answered with a server error: the request ran.
     Failed,
-    /// Certainly not run: it said so.
+    /// The marshal reported that it did not run the request.
     Rejected,
-    /// Certainly not run: another life has the address.
+    /// Another marshal instance has the address: the request did not run.
     WrongInstance,
-    /// Nothing was sent: no connection came up.
+    /// Nothing was sent: no connection could be established.
     ConnectFailed,
-    /// Nothing was sent: the connection had ended.
+    /// Nothing was sent: the connection had already ended, or none was free.
     NotSent,
-    /// It may have run: the connection broke, or bytes came that are no answer.
+    /// The connection broke or delivered an invalid response: the request may have run.
     ConnectionBroken,
-    /// It may have run: no answer in its time.
+    /// No response before the deadline: the request may have run.
     TimedOut,
-    /// The client left, or another marshal was faster.
+    /// The client disconnected, or another attempt answered first.
     Cancelled,
 }
 
-/// How near a marshal is.
+/// Distance between an edge and a marshal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reach {
-    /// The edge's zone.
-    Zone,
-    /// Its region.
-    Region,
-    /// Beyond.
-    Far,
+pub enum Proximity {
+    /// In the edge's zone.
+    SameZone,
+    /// In the edge's region.
+    SameRegion,
+    /// In another region.
+    OtherRegion,
 }
 
-/// Milliseconds in which half of what was observed of failures fades.
-const FADE: f64 = 4_000.0;
-/// Milliseconds for which a told load is believed; it then fades.
-const TOLD: f64 = 400.0;
-/// What one that turns requests away is taken to hold, as a multiple of what it works on at once: the least at which any
-/// request is refused, so that what goes first is still sent there where nothing better is left.
-const FULL: f64 = 2.0;
-/// Milliseconds without a sign that bytes arrive, after which a connection that breaks tells of a host that is not there.
-const UNHEARD: Time = 500;
-/// The first and the longest time for which one that can't be reached is avoided, in milliseconds.
-const AVOID: (Time, Time) = (400, 3_200);
+/// Half-life of the observed failure rate, in milliseconds.
+const FAILURE_HALF_LIFE: f64 = 4_000.0;
+/// Milliseconds for which a reported load is fully trusted; after that the trust halves in each
+/// such span.
+const LOAD_TRUST: f64 = 400.0;
+/// Assumed load of a marshal that rejects requests, as a multiple of its capacity. This is the
+/// lowest load factor at which any request is refused, so requests of the highest priority are
+/// still sent there when nothing better is left.
+const FULL_LOAD_FACTOR: f64 = 2.0;
+/// When a connection breaks after this many milliseconds without a sign that bytes arrive, the host
+/// is taken to be gone.
+const HOST_SILENCE: Time = 500;
+/// Shortest and longest backoff for an unreachable marshal, in milliseconds.
+const BACKOFF: (Time, Time) = (400, 3_200);
 
-/// Milliseconds for which a health answer is believed, and between two questions: in the time between a marshal's turning cold and
-/// the next answer, an edge sends no more than half a second's requests.
-const BELIEVED: Time = 600;
-const PROBE_EVERY: Time = 400;
+/// Milliseconds for which a health answer is valid. Together with the probe interval this limits
+/// what an edge sends between the moment when a marshal turns cold and the next answer to at most
+/// half a second's worth of requests.
+const HEALTH_VALIDITY: Time = 600;
+/// Milliseconds between two health probes of a marshal.
+const PROBE_INTERVAL: Time = 400;
 
-/// What a marshal's health answers said.
+/// State of the health probes of a marshal.
 #[derive(Clone, Copy, Debug, Default)]
 struct Health {
     warm_until: Time,
-    asked: Time,
+    last_probe: Time,
 }
 
 impl Health {
-    fn warm(&self, now: Time) -> bool {
+    fn is_warm(&self, now: Time) -> bool {
         now < self.warm_until
     }
 
-    fn due(&self, now: Time) -> bool {
-        now >= self.asked + PROBE_EVERY
+    fn probe_due(&self, now: Time) -> bool {
+        now >= self.last_probe + PROBE_INTERVAL
     }
 }
 
-/// One marshal.
+/// One marshal instance.
 #[derive(Debug)]
 pub struct Marshal {
-    /// Its life.
+    /// Id of the instance.
     pub id: Rc<str>,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddrV4,
     /// Its service.
     pub service: Rc<str>,
@@ -105,81 +111,87 @@
     pub zone: String,
     /// Its region.
     pub region: String,
-    /// Requests at once.
+    /// Number of requests that it runs concurrently.
     pub capacity: f64,
-    /// How near it is.
-    pub reach: Reach,
-    /// May be sent to as far as its zone, version and phase go.
-    pub open: bool,
-    /// Taken out by agreement, and this edge looks at it: repeatable requests, one at a time.
-    pub look: bool,
-    /// Its version is on trial.
-    pub new: bool,
-    /// What this edge may send in any second while it is cold; none: no such bound.
-    pub part: Option<u32>,
-    /// When this edge sent to it, within the last second.
-    sent: VecDeque<Time>,
-    /// What its health answers said while the core was out of reach.
+    /// Its distance from this edge.
+    pub proximity: Proximity,
+    /// Its zone, version and phase allow it to be sent requests.
+    pub eligible: bool,
+    /// Ejected by agreement, while this edge retests it with repeatable requests, one at a time.
+    pub retest: bool,
+    /// It runs a version on trial.
+    pub on_trial: bool,
+    /// Requests per second that this edge may send while the marshal is cold; `None` if not
+    /// limited.
+    pub cold_limit: Option<u32>,
+    /// Send times of the attempts of this edge within the last second.
+    recent_sends: VecDeque<Time>,
+    /// Health answers received while the control plane was out of reach.
     health: Health,
-    /// Out from this edge.
-    pub out: u32,
-    /// Told, here or to another edge: requests of others there, and when.
-    told: (f64, Time),
-    /// Its life as a number, by which edges tell each other of it; and what this one met there since it told last.
-    pub observed: HostObservation,
-    /// Mean milliseconds of an answer, 0: unknown.
-    pub mean: f64,
-    /// HostObservation share of failures, and when it was brought up to date.
-    bad: (f64, Time),
-    /// Avoided until then, how often in a row, and whether a first request is out after that.
-    avoid: (Time, u32),
-    trying: bool,
-    /// When it gave an answer last, of whatever kind.
-    answered: Time,
-    /// No connection came up since then.
-    unreached: bool,
-    /// When it first took its part, for those that were never tried.
-    pub since: Time,
+    /// Attempts of this edge that are in flight.
+    pub in_flight: u32,
+    /// Load by other senders, as last reported to this or another edge, and when it was reported.
+    reported_load: (f64, Time),
+    /// Observations since the last report to the control plane, with the numeric host key that
+    /// edges share.
+    pub observation: HostObservation,
+    /// Mean latency in milliseconds; 0 if unknown.
+    pub mean_latency: f64,
+    /// Observed failure rate, and when it was last updated.
+    failures: (f64, Time),
+    /// End of the current backoff, and the number of consecutive backoffs.
+    backoff: (Time, u32),
+    /// A request that checks the marshal after a backoff or in a retest is in flight.
+    check_in_flight: bool,
+    /// Time of the last answer of any kind.
+    last_answer: Time,
+    /// A connection attempt has failed since the last answer.
+    connect_failed: bool,
+    /// When this edge first saw it; decides whether its outcomes count as evidence in a trial.
+    pub first_seen: Time,
 }
 
 impl Marshal {
-    /// Takes what is agreed of it from one made anew, and keeps what this edge counted and observed: what it has sent to a cold
-    /// one in the last second still counts.
-    pub fn renew(&mut self, fresh: Marshal) {
-        let sent = std::mem::take(&mut self.sent);
-        let (out, told, mean, bad) = (self.out, self.told, self.mean, self.bad);
-        let (avoid, trying, since, observed) = (self.avoid, self.trying, self.since, self.observed);
-        let (answered, unreached, health) = (self.answered, self.unreached, self.health);
+    /// Takes the agreed state from a newly built entry and keeps what this edge has counted and
+    /// observed: requests sent to a cold marshal within the last second still count against its
+    /// limit.
+    pub fn rebuild_from(&mut self, fresh: Marshal) {
+        let recent_sends = std::mem::take(&mut self.recent_sends);
+        let (in_flight, reported_load, mean_latency, failures) =
+            (self.in_flight, self.reported_load, self.mean_latency, self.failures);
+        let (backoff, check_in_flight, first_seen, observation) =
+            (self.backoff, self.check_in_flight, self.first_seen, self.observation);
+        let (last_answer, connect_failed, health) = (self.last_answer, self.connect_failed, self.health);
         *self = Marshal {
-            sent,
+            recent_sends,
             health,
-            out,
-            told,
-            mean,
-            bad,
-            avoid,
-            trying,
-            answered,
-            unreached,
-            since,
+            in_flight,
+            reported_load,
+            mean_latency,
+            failures,
+            backoff,
+            check_in_flight,
+            last_answer,
+            connect_failed,
+            first_seen,
             ..fresh
         };
-        self.observed = HostObservation { host: self.observed.host, ..observed };
+        self.observation = HostObservation { host: self.observation.host, ..observation };
     }
 
-    /// What was met there since the last call, if anything.
-    pub fn tell(&mut self) -> Option<HostObservation> {
-        let fresh = HostObservation { host: self.observed.host, ..HostObservation::default() };
-        (self.observed != fresh).then(|| std::mem::replace(&mut self.observed, fresh))
+    /// Takes the observations since the last call, if there are any.
+    pub fn take_observation(&mut self) -> Option<HostObservation> {
+        let fresh = HostObservation { host: self.observation.host, ..HostObservation::default() };
+        (self.observation != fresh).then(|| std::mem::replace(&mut self.observation, fresh))
     }
 
-    /// Part of its capacity that others hold, as told last.
-    pub fn others(&self) -> f64 {
-        self.told.0 / self.capacity
+    /// Load by other senders as a fraction of capacity, as last reported.
+    pub fn other_load(&self) -> f64 {
+        self.reported_load.0 / self.capacity
     }
 
-    /// Of a life.
-    pub fn new(node: &Node, region: &str, reach: Reach, now: Time) -> Marshal {
+    /// Creates the entry of a marshal instance.
+    pub fn new(node: &Node, region: &str, proximity: Proximity, now: Time) -> Marshal {
         Marshal {
             id: Rc::from(node.id.as_str()),
             address: node.address,
@@ -187,217 +199,243 @@
             zone: node.zone.clone(),
             region: region.into(),
             capacity: f64::from(node.capacity.max(1)),
-            reach,
-            open: false,
-            look: false,
-            new: false,
-            part: None,
-            sent: VecDeque::new(),
+            proximity,
+            eligible: false,
+            retest: false,
+            on_trial: false,
+            cold_limit: None,
+            recent_sends: VecDeque::new(),
             health: Health::default(),
-            out: 0,
-            told: (0.0, 0),
-            observed: HostObservation { host: host_key(&node.id), ..HostObservation::default() },
-            mean: 0.0,
-            bad: (0.0, now),
-            avoid: (0, 0),
-            trying: false,
-            answered: 0,
-            unreached: false,
-            since: now,
+            in_flight: 0,
+            reported_load: (0.0, 0),
+            observation: HostObservation { host: host_key(&node.id), ..HostObservation::default() },
+            mean_latency: 0.0,
+            failures: (0.0, now),
+            backoff: (0, 0),
+            check_in_flight: false,
+            last_answer: 0,
+            connect_failed: false,
+            first_seen: now,
         }
     }
 
-    /// Its phase, as an edge of this number sees it.
-    pub fn phase(&mut self, phase: &Phase, own: u32) {
-        self.part = match phase {
-            Phase::Cold(deal) => Some(deal.iter().find(|(id, _)| *id == own).map_or(0, |(_, part)| *part)),
+    /// Applies the phase, from the point of view of the edge with id `edge`.
+    pub fn set_phase(&mut self, phase: &Phase, edge: u32) {
+        self.cold_limit = match phase {
+            Phase::Cold(limits) => {
+                Some(limits.iter().find(|(id, _)| *id == edge).map_or(0, |(_, limit)| *limit))
+            }
             Phase::Warm | Phase::Draining => None,
         };
     }
 
-    /// Whether the end of a sending that went out then says something of this marshal's version, or only that the host is not
-    /// there.
-    pub fn dead(&self, result: AttemptOutcome, since: Time, took: Time) -> bool {
-        let lost = match result {
+    /// Whether an attempt that was sent at `sent_at` ended because the host is gone. Such an end
+    /// says nothing about the marshal's version.
+    pub fn ended_by_host_loss(&self, outcome: AttemptOutcome, sent_at: Time, elapsed: Time) -> bool {
+        let unreachable = match outcome {
             AttemptOutcome::ConnectFailed => true,
-            // Nothing that was sent arrived there for so long; a process that hangs still takes bytes.
-            AttemptOutcome::ConnectionBroken => self.unreached || took >= UNHEARD,
-            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => self.unreached,
+            // No sent byte was acknowledged for so long. A hung process would still accept bytes.
+            AttemptOutcome::ConnectionBroken => self.connect_failed || elapsed >= HOST_SILENCE,
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => self.connect_failed,
             AttemptOutcome::Served
             | AttemptOutcome::Failed
             | AttemptOutcome::Rejected
             | AttemptOutcome::WrongInstance
             | AttemptOutcome::NotSent => false,
         };
-        lost && self.answered < since
+        unreachable && self.last_answer < sent_at
     }
 
-    /// Whether it may be sent a request now. `first`: it may run twice, so that a marshal that failed may be tried by it. `unheard`:
-    /// what an edge that has lost the core may send in any second to a marshal that may have turned cold.
-    pub fn takes(&mut self, now: Time, first: bool, unheard: Option<u32>) -> bool {
-        if !self.open {
-            return self.look && first && !self.trying && self.out == 0 && now >= self.avoid.0;
+    /// Whether a request may be sent to it now. `repeatable`: the request may run twice, so it may
+    /// be used to check a marshal that failed. `unconfirmed_limit`: requests per second that an
+    /// edge without contact to the control plane may send to a marshal that may have turned cold.
+    pub fn accepts(&mut self, now: Time, repeatable: bool, unconfirmed_limit: Option<u32>) -> bool {
+        if !self.eligible {
+            return self.retest
+                && repeatable
+                && !self.check_in_flight
+                && self.in_flight == 0
+                && now >= self.backoff.0;
         }
-        if now < self.avoid.0 {
+        if now < self.backoff.0 {
             return false;
         }
-        // After it could not be reached, one request at a time finds out, and none that may not run twice.
-        if self.avoid.1 > 0 && (self.trying || !first) {
+        // After a connection failure one request at a time checks the marshal, and only a
+        // repeatable one.
+        if self.backoff.1 > 0 && (self.check_in_flight || !repeatable) {
             return false;
         }
-        let bound = match (self.part, unheard) {
-            (Some(part), unheard) => part.min(unheard.unwrap_or(part)),
-            (None, Some(unheard)) if !self.health.warm(now) => unheard,
+        let limit = match (self.cold_limit, unconfirmed_limit) {
+            (Some(limit), unconfirmed_limit) => limit.min(unconfirmed_limit.unwrap_or(limit)),
+            (None, Some(limit)) if !self.health.is_warm(now) => limit,
             (None, _) => return true,
         };
-        self.sent_lately(now) < bound
+        self.sends_in_last_second(now) < limit
     }
 
-    /// Requests that this edge has sent to it within the last second.
-    fn sent_lately(&mut self, now: Time) -> u32 {
-        while self.sent.front().is_some_and(|at| at + 1_000 <= now) {
-            self.sent.pop_front();
+    /// Number of requests that this edge sent to it within the last second.
+    fn sends_in_last_second(&mut self, now: Time) -> u32 {
+        while self.recent_sends.front().is_some_and(|at| at + 1_000 <= now) {
+            self.recent_sends.pop_front();
         }
-        self.sent.len() as u32
+        self.recent_sends.len() as u32
     }
 
-    /// Whether its health should be asked now: this edge sends it about as much as one that may be cold can be sent.
-    pub fn wants_probe(&mut self, now: Time, unheard: u32) -> bool {
-        self.open && self.part.is_none() && self.health.due(now) && self.sent_lately(now) + 1 >= unheard
+    /// Whether to probe its health now: this edge sends it nearly as much as a possibly cold
+    /// marshal may get.
+    pub fn wants_probe(&mut self, now: Time, unconfirmed_limit: u32) -> bool {
+        self.eligible
+            && self.cold_limit.is_none()
+            && self.health.probe_due(now)
+            && self.sends_in_last_second(now) + 1 >= unconfirmed_limit
     }
 
-    /// Its health is asked.
-    pub fn probing(&mut self, now: Time) {
-        self.health.asked = now;
+    /// Notes that a health probe was sent.
+    pub fn probe_started(&mut self, now: Time) {
+        self.health.last_probe = now;
     }
 
-    /// What its health answer says: warm, cold, or nothing that can be relied on.
-    pub fn probed(&mut self, now: Time, warm: Option<bool>) {
+    /// Records a health answer: warm, cold, or `None` if it is not reliable.
+    pub fn record_probe_result(&mut self, now: Time, warm: Option<bool>) {
         match warm {
-            Some(true) => self.health.warm_until = now + BELIEVED,
+            Some(true) => self.health.warm_until = now + HEALTH_VALIDITY,
             Some(false) => self.health.warm_until = 0,
             None => {}
         }
     }
 
-    /// How much of what was told is believed still.
-    fn believed(&self, now: Time) -> f64 {
-        let age = now.saturating_sub(self.told.1) as f64;
-        if age <= TOLD {
+    /// Trust in the reported load: 1 while fresh, then decaying.
+    fn load_trust(&self, now: Time) -> f64 {
+        let age = now.saturating_sub(self.reported_load.1) as f64;
+        if age <= LOAD_TRUST {
             1.0
         } else {
-            (0.5f64).powf((age - TOLD) / TOLD)
+            (0.5f64).powf((age - LOAD_TRUST) / LOAD_TRUST)
         }
     }
 
-    /// Requests there: own, and others' as told.
-    pub fn jobs(&self, now: Time) -> f64 {
-        f64::from(self.out) + self.told.0 * self.believed(now)
+    /// Estimated number of requests there: this edge's own and the reported ones of others.
+    pub fn estimated_load(&self, now: Time) -> f64 {
+        f64::from(self.in_flight) + self.reported_load.0 * self.load_trust(now)
     }
 
-    /// Another edge was told of so many requests there, so many milliseconds ago.
-    pub fn shared(&mut self, now: Time, load: u16, ago: Time) {
-        let at = now.saturating_sub(ago);
-        if at > self.told.1 {
-            self.told = ((f64::from(load) - f64::from(self.out)).max(0.0), at);
+    /// Applies a load that was reported to another edge `ago` milliseconds ago.
+    pub fn apply_shared_load(&mut self, now: Time, load: u16, ago: Time) {
+        let reported_at = now.saturating_sub(ago);
+        if reported_at > self.reported_load.1 {
+            self.reported_load = ((f64::from(load) - f64::from(self.in_flight)).max(0.0), reported_at);
         }
     }
 
-    /// Expected milliseconds until it answers, where `usual` is what a marshal of its service takes, and `others` the part of
-    /// its capacity that others hold there: what is known of this one fades into that. Guards against taking a marshal
-    /// that was not heard of for long for an empty one.
-    pub fn wait(&self, now: Time, usual: f64, others: f64) -> f64 {
-        let mean = if self.mean > 0.0 { self.mean } else { usual };
-        let jobs = self.jobs(now) + others * self.capacity * (1.0 - self.believed(now));
-        let queue = (jobs + 1.0 - self.capacity).max(0.0) / self.capacity;
-        // Short of full, each job there makes a wait a little more likely; some also slow down.
-        mean * (1.0 + queue + 0.25 * (jobs / self.capacity).min(1.0))
+    /// Expected latency in milliseconds. `typical_latency` is that of the service and
+    /// `other_load` the mean load by other senders as a fraction of capacity. As the report on this marshal
+    /// ages, the estimate shifts towards `other_load`, so that a marshal without recent reports is not
+    /// taken to be idle.
+    pub fn expected_latency(&self, now: Time, typical_latency: f64, other_load: f64) -> f64 {
+        let latency = if self.mean_latency > 0.0 { self.mean_latency } else { typical_latency };
+        let load = self.estimated_load(now) + other_load * self.capacity * (1.0 - self.load_trust(now));
+        let queue = (load + 1.0 - self.capacity).max(0.0) / self.capacity;
+        // Below capacity, each request there makes waiting a little more likely, and some marshals
+        // slow down.
+        latency * (1.0 + queue + 0.25 * (load / self.capacity).min(1.0))
     }
 
-    /// HostObservation share of failures.
-    pub fn failing(&self, now: Time) -> f64 {
-        self.bad.0 * (0.5f64).powf(now.saturating_sub(self.bad.1) as f64 / FADE)
+    /// Observed failure rate.
+    pub fn failure_rate(&self, now: Time) -> f64 {
+        self.failures.0 * (0.5f64).powf(now.saturating_sub(self.failures.1) as f64 / FAILURE_HALF_LIFE)
     }
 
-    /// It takes no more: said or shown. Other edges are told as well.
-    fn full(&mut self, now: Time) {
-        let others = self.told.0.max(FULL * self.capacity);
-        self.told = (others, now);
-        self.observed.load = Some((others + f64::from(self.out)) as u16);
+    /// Marks the marshal as full, and reports that load to other edges too.
+    fn mark_full(&mut self, now: Time) {
+        let other_load = self.reported_load.0.max(FULL_LOAD_FACTOR * self.capacity);
+        self.reported_load = (other_load, now);
+        self.observation.load = Some((other_load + f64::from(self.in_flight)) as u16);
     }
 
-    fn feel(&mut self, now: Time, bad: f64) {
-        let before = self.failing(now);
-        self.bad = (before + 0.1 * (bad - before), now);
+    /// Updates the failure rate with a score from 0 (success) to 1 (failure).
+    fn record_score(&mut self, now: Time, score: f64) {
+        let before = self.failure_rate(now);
+        self.failures = (before + 0.1 * (score - before), now);
     }
 
-    /// A request goes there.
-    pub fn send(&mut self, now: Time) {
-        self.out += 1;
-        self.sent_lately(now);
-        self.sent.push_back(now);
-        self.trying = self.avoid.1 > 0 || self.look;
+    /// Records that an attempt is sent.
+    pub fn attempt_started(&mut self, now: Time) {
+        self.in_flight += 1;
+        self.sends_in_last_second(now);
+        self.recent_sends.push_back(now);
+        self.check_in_flight = self.backoff.1 > 0 || self.retest;
     }
 
-    /// What came of it. Gives the milliseconds for which it is avoided, where that begins.
-    pub fn end(&mut self, now: Time, result: AttemptOutcome, took: Time, load: Option<Load>) -> Option<Time> {
-        self.out = self.out.saturating_sub(1);
-        self.trying = false;
+    /// Records the end of an attempt. Returns the milliseconds of the backoff if one begins.
+    pub fn attempt_ended(
+        &mut self,
+        now: Time,
+        outcome: AttemptOutcome,
+        elapsed: Time,
+        load: Option<Load>,
+    ) -> Option<Time> {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.check_in_flight = false;
         if let Some(load) = load {
-            let others = f64::from(load.running + load.waiting) - f64::from(self.out) - 1.0;
-            self.told = (others.max(0.0), now);
-            self.observed.load = u16::try_from((load.running + load.waiting).saturating_sub(1)).ok();
+            let other_load = f64::from(load.running + load.waiting) - f64::from(self.in_flight) - 1.0;
+            self.reported_load = (other_load.max(0.0), now);
+            self.observation.load = u16::try_from((load.running + load.waiting).saturating_sub(1)).ok();
         }
-        if matches!(result, AttemptOutcome::Served | AttemptOutcome::Failed | AttemptOutcome::Rejected) {
-            (self.answered, self.unreached) = (now, false);
+        if matches!(outcome, AttemptOutcome::Served | AttemptOutcome::Failed | AttemptOutcome::Rejected) {
+            (self.last_answer, self.connect_failed) = (now, false);
         }
-        self.unreached |= result == AttemptOutcome::ConnectFailed;
-        let observed = &mut self.observed;
-        match result {
+        self.connect_failed |= outcome == AttemptOutcome::ConnectFailed;
+        let observation = &mut self.observation;
+        match outcome {
             AttemptOutcome::Served | AttemptOutcome::Rejected => {
-                observed.answered = observed.answered.saturating_add(1)
+                observation.answered = observation.answered.saturating_add(1)
             }
             AttemptOutcome::Failed | AttemptOutcome::ConnectionBroken => {
-                observed.failed = observed.failed.saturating_add(1)
+                observation.failed = observation.failed.saturating_add(1)
             }
             AttemptOutcome::ConnectFailed | AttemptOutcome::TimedOut => {
-                observed.unreachable = observed.unreachable.saturating_add(1)
+                observation.unreachable = observation.unreachable.saturating_add(1)
             }
             AttemptOutcome::WrongInstance | AttemptOutcome::NotSent | AttemptOutcome::Cancelled => {}
         }
-        match result {
+        match outcome {
             AttemptOutcome::Served => {
-                self.avoid = (0, 0);
-                let took = (took as f64).max(0.5);
-                self.mean = if self.mean > 0.0 { self.mean + 0.1 * (took - self.mean) } else { took };
-                self.feel(now, 0.0);
+                self.backoff = (0, 0);
+                let elapsed = (elapsed as f64).max(0.5);
+                self.mean_latency = if self.mean_latency > 0.0 {
+                    self.mean_latency + 0.1 * (elapsed - self.mean_latency)
+                } else {
+                    elapsed
+                };
+                self.record_score(now, 0.0);
             }
             AttemptOutcome::Failed => {
-                self.avoid = (0, 0);
-                self.feel(now, 1.0);
+                self.backoff = (0, 0);
+                self.record_score(now, 1.0);
             }
             AttemptOutcome::Rejected => {
-                // Full: others send there as well.
-                self.avoid = (0, 0);
-                self.full(now);
+                // The marshal is full: other edges send there as well.
+                self.backoff = (0, 0);
+                self.mark_full(now);
             }
             AttemptOutcome::ConnectionBroken => {
-                // Marshals of some services reset when they are full: one that was known to be busy and breaks off at once.
-                if self.jobs(now) >= self.capacity && (took as f64) < 0.5 * self.mean {
-                    self.full(now);
+                // Marshals of some services reset connections when they are full. The sign is a
+                // marshal known to be busy that breaks the connection early.
+                if self.estimated_load(now) >= self.capacity && (elapsed as f64) < 0.5 * self.mean_latency {
+                    self.mark_full(now);
                 }
-                self.feel(now, 1.0);
+                self.record_score(now, 1.0);
             }
             AttemptOutcome::WrongInstance | AttemptOutcome::ConnectFailed | AttemptOutcome::TimedOut => {
-                self.feel(now, 1.0);
-                let times = self.avoid.1.min(8);
-                let span = if result == AttemptOutcome::WrongInstance {
-                    AVOID.1
+                self.record_score(now, 1.0);
+                let backoffs = self.backoff.1.min(8);
+                let duration = if outcome == AttemptOutcome::WrongInstance {
+                    BACKOFF.1
                 } else {
-                    (AVOID.0 << times).min(AVOID.1)
+                    (BACKOFF.0 << backoffs).min(BACKOFF.1)
                 };
-                self.avoid = (now + span, times + 1);
-                return Some(span);
+                self.backoff = (now + duration, backoffs + 1);
+                return Some(duration);
             }
             AttemptOutcome::NotSent | AttemptOutcome::Cancelled => {}
         }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,8 +1,9 @@
-//! Pick, try again, or refuse.
+//! Selects a marshal for each attempt of a request, decides on retries, and refuses requests.
 //!
-//! A marshal's cost is in parts of a request's worth: how late its answer is likely to be against the route's aim, how
-//! often it fails, and what its bytes cost on the way. Two of each reach are drawn by chance and the cheapest is taken, so
-//! that the work for a request does not grow with the fleet.
+//! The cost of a marshal is a fraction of a request's value. It combines the expected lateness
+//! relative to the route's target latency, the failure rate, and the cost of transferring the
+//! response. Two random marshals of each proximity are compared and the cheapest is chosen, so the
+//! work per request does not grow with the fleet.
 
 mod evidence;
 mod outcome;
@@ -28,232 +29,248 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Where this edge is.
+/// Location of this edge.
 #[derive(Clone, Debug)]
 pub struct Location {
-    /// Its address as a number.
+    /// Id of the edge: its IPv4 address as a number.
     pub id: u32,
     /// Its zone.
     pub zone: String,
     /// Its region.
     pub region: String,
-    /// The region of each zone.
+    /// Region of each zone.
     pub zone_regions: BTreeMap<String, String>,
 }
 
-/// What a request's head says that matters for where it goes.
+/// The parts of a request's head that routing depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestHead<'a> {
-    /// The `Host`.
+    /// Value of the `Host` header.
     pub host: &'a str,
-    /// The path.
+    /// Request path.
     pub path: &'a str,
-    /// Milliseconds for which the client waits, where it says so.
+    /// Milliseconds that the client is still willing to wait, if it says so.
     pub remaining_ms: Option<u64>,
-    /// The key, where there is one.
+    /// API key, if present.
     pub api_key: Option<&'a str>,
 }
 
-/// A request under way.
+/// State of a request while it is being served.
 #[derive(Debug)]
 pub struct RoutedRequest {
     /// Its route.
     pub route: Rc<Route>,
-    /// Whose key it bears, where it needs one.
+    /// Tenant of its API key, if the route needs a key.
     pub tenant: Option<Rc<Tenant>>,
-    /// The service drawn for it.
+    /// Service chosen for it.
     pub service: Rc<str>,
-    /// No answer counts after this.
+    /// Time after which no response is accepted.
     pub deadline: Time,
-    /// Marshals that it doesn't go to again.
-    tried: Vec<u64>,
-    /// Marshals that it was sent to.
-    sent: u32,
-    /// Marshals that it was offered to without a byte being sent.
-    missed: u32,
-    /// It may have run somewhere.
+    /// Marshals that are not tried again.
+    tried_marshals: Vec<u64>,
+    /// Number of attempts that count against the limit.
+    attempts: u32,
+    /// Number of attempts that ended before a byte was sent.
+    undelivered: u32,
+    /// It may have run on some marshal.
     pub may_have_run: bool,
-    /// What the coin said, where a version is on trial.
-    new: bool,
+    /// It was assigned to the version on trial.
+    for_trial_version: bool,
 }
 
-/// One sending.
+/// One attempt to serve a request on a marshal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
-    /// To be given back.
+    /// Key of the marshal in the router's tables.
     pub marshal_key: u64,
-    /// The marshal's life.
+    /// Id of the marshal instance.
     pub id: Rc<str>,
-    /// Where it listens.
+    /// Address of the marshal.
     pub address: SocketAddrV4,
-    /// When it was picked.
+    /// When the attempt was started.
     pub started_at: Time,
-    /// Connections that this edge may hold to it.
+    /// Maximum number of connections that this edge may hold to the marshal.
     pub max_connections: usize,
-    /// Its number, and its service.
     number: u64,
     service: Rc<str>,
 }
 
 impl Attempt {
-    fn to(key: u64, marshal: &Marshal, now: Time, connections: usize, number: u64) -> Attempt {
+    fn new(key: u64, marshal: &Marshal, now: Time, max_connections: usize, number: u64) -> Attempt {
         Attempt {
             marshal_key: key,
             id: Rc::clone(&marshal.id),
             address: marshal.address,
             started_at: now,
-            max_connections: connections,
+            max_connections,
             number,
             service: Rc::clone(&marshal.service),
         }
     }
 }
 
-/// A question for a marshal's health.
+/// A health probe to be sent.
 #[derive(Clone, Debug)]
 pub struct Probe {
-    /// Where it goes.
+    /// Identifies the marshal to be probed.
     pub attempt: Attempt,
-    /// The path to ask for.
+    /// Path to request.
     pub path: String,
 }
 
-/// Connections that this edge may hold to a marshal that accepts so many. All edges together stay under that; a tenth is for those
-/// not heard of yet.
-fn connections(accepted: u32, edges: f64) -> usize {
+/// Maximum number of connections that this edge may hold to a marshal that accepts `accepted` of
+/// them. All edges together stay below that number; a tenth is left to edges that are not known
+/// yet.
+fn max_connections(accepted: u32, edges: f64) -> usize {
     (f64::from(accepted) * 0.9 / (edges + 1.0)).max(1.0) as usize
 }
 
-/// What an edge that is out of touch may send in any second to a marshal that may be cold: its part of what all edges together may
-/// send to a cold one, so that it holds whoever else is out of touch.
-fn unheard_bound(of: &Configuration, service: &str, bounds: &Guarantees, edges: f64) -> u32 {
-    let per_s = of.targets.get(service).map_or(0.0, |it| it.warmup_per_s);
-    ((per_s * bounds.warmupExcess + bounds.warmupSlack) / edges.max(1.0)).max(1.0) as u32
+/// Requests per second that an edge without contact to the control plane may send to a marshal that
+/// may be cold. It is this edge's part of what all edges together may send to a cold marshal, so
+/// the limit holds however many edges have lost contact.
+fn unconfirmed_limit(
+    configuration: &Configuration,
+    service: &str,
+    guarantees: &Guarantees,
+    edges: f64,
+) -> u32 {
+    let per_s = configuration.targets.get(service).map_or(0.0, |target| target.warmup_per_s);
+    ((per_s * guarantees.warmupExcess + guarantees.warmupSlack) / edges.max(1.0)).max(1.0) as u32
 }
 
 impl RoutedRequest {
-    /// Whether it may be served in a region: where route and tenant both have homes, both bind.
-    fn at_home(&self, region: &str) -> bool {
-        let binds = |homes: &[String]| homes.is_empty() || homes.iter().any(|home| home == region);
-        binds(&self.route.regions) && self.tenant.as_ref().is_none_or(|tenant| binds(&tenant.regions))
+    /// Whether the request may be served in a region. If both route and tenant are limited to
+    /// regions, both limits apply.
+    fn allowed_in(&self, region: &str) -> bool {
+        let permits =
+            |regions: &[String]| regions.is_empty() || regions.iter().any(|allowed| allowed == region);
+        permits(&self.route.serving_regions)
+            && self.tenant.as_ref().is_none_or(|tenant| permits(&tenant.serving_regions))
     }
 
-    /// How many priorities go before its own: its tenant's counts before its route's.
-    fn rank(&self) -> u32 {
-        self.tenant.as_ref().and_then(|tenant| tenant.rank).unwrap_or(self.route.rank)
+    /// Number of priorities that rank before this request's. The tenant's priority overrides the
+    /// route's.
+    fn priority_rank(&self) -> u32 {
+        self.tenant.as_ref().and_then(|tenant| tenant.priority_rank).unwrap_or(self.route.priority_rank)
     }
 }
 
+/// Routing state of a service.
 #[derive(Debug)]
 struct Service {
-    /// Marshals by reach.
-    reach: [Vec<u64>; 3],
-    /// Those that are taken out, and that this edge looks at.
-    looks: Vec<u64>,
+    /// Keys of marshals by proximity.
+    by_proximity: [Vec<u64>; 3],
+    /// Ejected marshals that this edge retests.
+    retested: Vec<u64>,
     budget: Budget,
-    /// Milliseconds of an answer, by route.
-    usual: f64,
-    /// Part of a marshal's capacity that others hold, as told of any.
-    others: f64,
-    connections: u32,
+    /// Mean latency of a response in milliseconds.
+    mean_latency: f64,
+    /// Mean load of marshals by other senders, as a fraction of capacity, over all reports.
+    other_load: f64,
+    /// Number of connections that each of its marshals accepts.
+    max_sessions: u32,
     trial: Option<Trial>,
 }
 
-/// What crossing costs for each kilobyte, in parts of a request's worth: between zones, between regions. Ours: links
-/// between regions are dear everywhere, those between zones a little.
-const CROSSING: [f64; 3] = [0.0, 0.002, 0.015];
-/// Milliseconds that crossing takes, until it has been observed.
-const AWAY: [f64; 3] = [0.0, 1.0, 40.0];
-/// Requests at a marshal, as a multiple of what it works on at once, beyond which it is left alone.
-const DEEP: f64 = 3.0;
-/// So much less for each priority that goes before.
-const STEP: f64 = 0.4;
-/// Further tries: our part of the ratio and of the slack, the rest is for what counting by parts misses.
-const BUDGET_PART: f64 = 0.75;
-/// Connections to a marshal that can't be made, one after the other, before the request is given up.
-const MISSES: u32 = 3;
+/// Cost of the transfer per kilobyte, as a fraction of a request's value, by proximity. Links
+/// between regions are expensive everywhere, links between zones only a little.
+const TRANSFER_COST_PER_KB: [f64; 3] = [0.0, 0.002, 0.015];
+/// Network latency in milliseconds by proximity, used until a latency has been observed.
+const NETWORK_LATENCY: [f64; 3] = [0.0, 1.0, 40.0];
+/// Load, as a multiple of capacity, at which a marshal gets no further requests.
+const MAX_LOAD_FACTOR: f64 = 3.0;
+/// Reduction of that load factor for each priority that ranks before the request's.
+const LOAD_FACTOR_PER_RANK: f64 = 0.4;
+/// Fraction of the retry ratio and slack that edges use. The rest covers the error of counting in
+/// slots.
+const RETRY_BUDGET_FRACTION: f64 = 0.75;
+/// Maximum number of attempts that ended before a byte was sent, after which the request is given
+/// up.
+const MAX_UNDELIVERED: u32 = 3;
 
-/// Weight of one word on a marshal's load in the mean over its service (ours).
-const OTHERS: f64 = 0.02;
-/// Characters of a host, path or id in a sample.
-const LONGEST: usize = 128;
-/// An answer that takes so many times the expected wait is a rare one.
-const LONG: f64 = 4.0;
-/// Part of a request's aim in which a canary's answer should come.
-const NEAR: f64 = 0.5;
-/// Milliseconds without a word from the core after which nothing more is exposed.
-const HEARD: Time = 2_000;
-/// Milliseconds without a word from the core after which an edge counts with marshals that have turned cold: an election is over by
-/// then, and a zone that is emptied is not back yet.
-const OUT_OF_TOUCH: Time = 3_000;
+/// Weight of one load report in the mean over a service.
+const LOAD_REPORT_WEIGHT: f64 = 0.02;
+/// Maximum length in characters of a host, path or id in a sample.
+const MAX_SAMPLE_CHARS: usize = 128;
+/// Multiple of the expected latency that a response only rarely exceeds.
+const DURATION_BOUND_FACTOR: f64 = 4.0;
+/// Fraction of the target latency within which a canary is expected to answer.
+const CANARY_LATENCY_SHARE: f64 = 0.5;
+/// Milliseconds without contact to the control plane after which no more requests go to a version
+/// on trial.
+const EXPOSURE_CONTACT_LIMIT: Time = 2_000;
+/// Milliseconds without contact to the control plane after which an edge assumes that marshals may
+/// have turned cold. By then an election is over, and a zone that was evacuated is not back yet.
+const CONTACT_LOST_AFTER: Time = 3_000;
 
-/// What an edge decides by.
+/// Routing state of an edge.
 #[derive(Debug)]
 pub struct Router {
-    place: Location,
-    bounds: Guarantees,
+    location: Location,
+    guarantees: Guarantees,
     table: RouteTable,
-    of: Option<Arc<Configuration>>,
+    configuration: Option<Arc<Configuration>>,
     marshals: HashMap<u64, Marshal, RandomState>,
-    keys: HashMap<String, u64, RandomState>,
-    /// Marshals by the number under which edges tell each other of them.
-    hosts: HashMap<u32, u64, RandomState>,
-    /// Marshals at which something was met since it was told last.
-    met: BTreeSet<u64>,
-    next: u64,
+    key_by_id: HashMap<String, u64, RandomState>,
+    /// Marshal keys by the numeric host key that edges share.
+    key_by_host: HashMap<u32, u64, RandomState>,
+    /// Marshals with observations that have not been reported.
+    unreported: BTreeSet<u64>,
+    last_key: u64,
     services: HashMap<Rc<str>, Service, RandomState>,
-    /// Kilobytes of an answer, by route.
-    weight: HashMap<String, f64, RandomState>,
-    edges: f64,
-    /// When the core was heard last.
-    heard: Time,
-    sendings: u64,
-    /// A decision that the core has not been told yet, and when the next is due.
-    sampled: Option<Sample>,
+    /// Mean size of a response in kilobytes, by route.
+    response_kilobytes: HashMap<String, f64, RandomState>,
+    edge_count: f64,
+    /// Time of the last contact with the control plane.
+    last_core_contact: Time,
+    attempt_count: u64,
+    /// A routing sample that has not been reported yet.
+    pending_sample: Option<Sample>,
+    /// When the next sample is due.
     next_sample: Time,
-    /// For digests of keys.
+    /// Salt of the API key digests.
     salt: Salt,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
 }
 
 impl Router {
-    /// Knows nothing yet.
-    pub fn new(place: Location, bounds: Guarantees, seed: u64) -> Router {
+    /// Creates a router without any configuration.
+    pub fn new(location: Location, guarantees: Guarantees, seed: u64) -> Router {
         Router {
-            place,
-            bounds,
+            location,
+            guarantees,
             table: RouteTable::default(),
-            of: None,
+            configuration: None,
             marshals: HashMap::default(),
-            keys: HashMap::default(),
-            hosts: HashMap::default(),
-            met: BTreeSet::new(),
-            next: 0,
+            key_by_id: HashMap::default(),
+            key_by_host: HashMap::default(),
+            unreported: BTreeSet::new(),
+            last_key: 0,
             services: HashMap::default(),
-            weight: HashMap::default(),
-            edges: 8.0,
-            heard: 0,
-            sendings: 0,
-            sampled: None,
+            response_kilobytes: HashMap::default(),
+            edge_count: 8.0,
+            last_core_contact: 0,
+            attempt_count: 0,
+            pending_sample: None,
             next_sample: 0,
             salt: Pcg64Mcg::seed_from_u64(!seed).random(),
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
-    /// Whether there is a configuration.
+    /// Whether a configuration has been received.
     pub fn has_configuration(&self) -> bool {
-        self.of.is_some()
+        self.configuration.is_some()
     }
 
-    /// Whether requests need keys of tenants.
+    /// Whether requests need API keys.
     pub fn requires_keys(&self) -> bool {
-        self.table.tenants.any()
+        self.table.tenants.key_required()
     }
 
-    /// The configuration in force here.
+    /// The configuration in use.
     pub fn configuration(&self) -> Option<&Arc<Configuration>> {
-        self.of.as_ref()
+        self.configuration.as_ref()
     }
 
     /// Whether a marshal is still known.
@@ -261,58 +278,63 @@
         self.marshals.contains_key(&marshal)
     }
 
-    /// How many edges take traffic.
+    /// Sets the number of edges that serve traffic.
     pub fn set_edge_count(&mut self, count: u32) {
-        // Fewer are not believed at once: those that are not heard may still send.
+        // The number falls only gradually: edges that are no longer heard may still be sending.
         let count = f64::from(count.max(1));
-        self.edges = if count >= self.edges { count } else { self.edges + 0.02 * (count - self.edges) };
+        self.edge_count =
+            if count >= self.edge_count { count } else { self.edge_count + 0.02 * (count - self.edge_count) };
     }
 
-    /// Takes what the core has agreed.
+    /// Applies the agreed state.
     pub fn refresh(&mut self, now: Time, view: &View) {
-        self.build(now, view, false);
+        self.build_tables(now, view, false);
     }
 
-    /// Makes all tables anew from what the core has agreed, as if for the first time; what was counted and observed stays.
+    /// Rebuilds all tables from the agreed state; counts and observations are kept.
     pub fn rebuild(&mut self, now: Time, view: &View) {
-        self.of = None;
-        self.hosts.clear();
+        self.configuration = None;
+        self.key_by_host.clear();
         self.services.values_mut().for_each(|service| service.trial = None);
-        self.build(now, view, true);
+        self.build_tables(now, view, true);
     }
 
-    /// The core was heard.
+    /// Records contact with the control plane.
     pub fn core_heard(&mut self, now: Time) {
-        self.heard = now;
+        self.last_core_contact = now;
     }
 
-    /// Milliseconds since the core was heard last; since the process began, where it never was.
+    /// Milliseconds since the last contact with the control plane; since the start of the process
+    /// if there was none.
     pub fn time_since_core_contact(&self, now: Time) -> Time {
-        now.saturating_sub(self.heard)
+        now.saturating_sub(self.last_core_contact)
     }
 
-    /// Whether the core was not heard for so long that what it agreed meanwhile may already have had its effects.
+    /// Whether contact has been lost for so long that newer agreed changes may already have taken
+    /// effect.
     pub fn core_contact_lost(&self, now: Time) -> bool {
-        self.time_since_core_contact(now) > OUT_OF_TOUCH
+        self.time_since_core_contact(now) > CONTACT_LOST_AFTER
     }
 
-    /// An answer of a route had so many bytes.
+    /// Records the response size of a route in bytes.
     pub fn record_response_size(&mut self, route: &Route, bytes: u64) {
         let kilobytes = bytes as f64 / 1024.0;
-        match self.weight.get_mut(&route.name) {
+        match self.response_kilobytes.get_mut(&route.name) {
             Some(mean) => *mean += 0.05 * (kilobytes - *mean),
             None => {
-                self.weight.insert(route.name.clone(), kilobytes);
+                self.response_kilobytes.insert(route.name.clone(), kilobytes);
             }
         }
     }
 
-    /// Seconds after which a refused client should come back: spread, so that not all return at once.
+    /// Seconds after which a refused client should retry, randomized so that not all clients return
+    /// at once.
     pub fn retry_after_seconds(&mut self, route: Option<&Route>) -> f64 {
         match route {
-            Some(route) => route.target as f64 / 1000.0 * self.chance.random_range(0.15..0.6),
-            // No configuration yet: the core is on its way back, which takes about a second.
-            None => self.chance.random_range(0.5..1.5),
+            Some(route) => route.target_latency as f64 / 1000.0 * self.rng.random_range(0.15..0.6),
+            // No configuration yet: the control plane is still starting, which takes about a
+            // second.
+            None => self.rng.random_range(0.5..1.5),
         }
     }
 }
--- a/crates/routing/src/router/outcome.rs
+++ b/crates/routing/src/router/outcome.rs
@@ -1,106 +1,113 @@
-//! What came of a sending.
+//! Handles the outcomes of attempts.
 
-use super::{Attempt, RoutedRequest, Router, MISSES, OTHERS};
+use super::{Attempt, RoutedRequest, Router, LOAD_REPORT_WEIGHT, MAX_UNDELIVERED};
 use crate::marshal::{AttemptOutcome, Load};
 use crate::Time;
 
 impl Router {
-    /// What came of a sending. Gives the milliseconds for which the marshal is avoided from now on, if it is.
+    /// Records the end of an attempt. Returns the milliseconds of the marshal's backoff if one
+    /// begins now.
     pub fn finish_attempt(
         &mut self,
         now: Time,
-        ticket: &mut RoutedRequest,
-        sending: &Attempt,
-        result: AttemptOutcome,
+        request: &mut RoutedRequest,
+        attempt: &Attempt,
+        outcome: AttemptOutcome,
         load: Option<Load>,
     ) -> Option<Time> {
-        match result {
+        match outcome {
             AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => {
-                // Nothing arrived there: it is no try, though the same one isn't asked again.
-                ticket.missed += 1;
-                ticket.sent = ticket.sent.saturating_sub(1);
-                if result == AttemptOutcome::NotSent {
-                    ticket.tried.retain(|key| *key != sending.marshal_key);
+                // Nothing reached the marshal, so this does not count as an attempt.
+                request.undelivered += 1;
+                request.attempts = request.attempts.saturating_sub(1);
+                if outcome == AttemptOutcome::NotSent {
+                    request.tried_marshals.retain(|key| *key != attempt.marshal_key);
                 }
             }
             AttemptOutcome::ConnectionBroken
             | AttemptOutcome::TimedOut
             | AttemptOutcome::Failed
-            | AttemptOutcome::Cancelled => ticket.may_have_run = true,
+            | AttemptOutcome::Cancelled => request.may_have_run = true,
             AttemptOutcome::Served | AttemptOutcome::Rejected | AttemptOutcome::WrongInstance => {}
         }
-        let took = now.saturating_sub(sending.started_at);
-        if result == AttemptOutcome::Served {
-            if let Some(service) = self.services.get_mut(&ticket.service) {
-                service.usual += 0.02 * (took as f64 - service.usual);
+        let elapsed = now.saturating_sub(attempt.started_at);
+        if outcome == AttemptOutcome::Served {
+            if let Some(service) = self.services.get_mut(&request.service) {
+                service.mean_latency += 0.02 * (elapsed as f64 - service.mean_latency);
             }
         }
-        let marshal = self.marshals.get_mut(&sending.marshal_key)?;
-        self.met.insert(sending.marshal_key);
-        // Errors and time-outs score 1, a time-out being an answer beyond the aim; what never ran is no outcome.
-        let bad = match result {
-            AttemptOutcome::Served => Some(took > ticket.route.target),
+        let marshal = self.marshals.get_mut(&attempt.marshal_key)?;
+        self.unreported.insert(attempt.marshal_key);
+        // Errors and time-outs score 1, where a time-out is a response later than the target
+        // latency. A request that did not run is no outcome.
+        let failed = match outcome {
+            AttemptOutcome::Served => Some(elapsed > request.route.target_latency),
             AttemptOutcome::Failed | AttemptOutcome::ConnectionBroken | AttemptOutcome::TimedOut => {
                 Some(true)
             }
             _ => None,
         };
-        if let Some(trial) = self.services.get_mut(&sending.service).and_then(|it| it.trial.as_mut()) {
-            if marshal.dead(result, sending.started_at, took) {
-                trial.void(sending.number);
+        if let Some(trial) =
+            self.services.get_mut(&attempt.service).and_then(|service| service.trial.as_mut())
+        {
+            if marshal.ended_by_host_loss(outcome, attempt.started_at, elapsed) {
+                trial.discard_attempt(attempt.number);
             } else {
-                trial.ended(now, sending.number, bad);
+                trial.attempt_ended(now, attempt.number, failed);
             }
         }
-        let avoided = marshal.end(now, result, took, load);
-        if let (Some(_), Some(service)) = (load, self.services.get_mut(&sending.service)) {
-            service.others += OTHERS * (marshal.others() - service.others);
+        let backoff = marshal.attempt_ended(now, outcome, elapsed, load);
+        if let (Some(_), Some(service)) = (load, self.services.get_mut(&attempt.service)) {
+            service.other_load += LOAD_REPORT_WEIGHT * (marshal.other_load() - service.other_load);
         }
-        avoided
+        backoff
     }
 
-    /// A sending waits longer than this edge waits for one.
-    pub fn record_timeout(&mut self, now: Time, sending: &Attempt) {
-        if let Some(trial) = self.services.get_mut(&sending.service).and_then(|it| it.trial.as_mut()) {
-            trial.timed_out(now, sending.number);
+    /// Records that an attempt takes longer than the hedge delay.
+    pub fn record_timeout(&mut self, now: Time, attempt: &Attempt) {
+        if let Some(trial) =
+            self.services.get_mut(&attempt.service).and_then(|service| service.trial.as_mut())
+        {
+            trial.record_timeout(now, attempt.number);
         }
     }
 
-    /// A client left while a sending was out.
-    pub fn cancel_attempt(&mut self, now: Time, sending: &Attempt) {
-        let took = now.saturating_sub(sending.started_at);
-        let dead = self
-            .marshals
-            .get(&sending.marshal_key)
-            .is_some_and(|it| it.dead(AttemptOutcome::Cancelled, sending.started_at, took));
-        if let Some(trial) = self.services.get_mut(&sending.service).and_then(|it| it.trial.as_mut()) {
-            if dead {
-                trial.void(sending.number);
+    /// Records that the client disconnected during an attempt.
+    pub fn cancel_attempt(&mut self, now: Time, attempt: &Attempt) {
+        let elapsed = now.saturating_sub(attempt.started_at);
+        let host_lost = self.marshals.get(&attempt.marshal_key).is_some_and(|marshal| {
+            marshal.ended_by_host_loss(AttemptOutcome::Cancelled, attempt.started_at, elapsed)
+        });
+        if let Some(trial) =
+            self.services.get_mut(&attempt.service).and_then(|service| service.trial.as_mut())
+        {
+            if host_lost {
+                trial.discard_attempt(attempt.number);
             } else {
-                trial.ended(now, sending.number, None);
+                trial.attempt_ended(now, attempt.number, None);
             }
         }
-        if let Some(marshal) = self.marshals.get_mut(&sending.marshal_key) {
-            marshal.end(now, AttemptOutcome::Cancelled, 0, None);
+        if let Some(marshal) = self.marshals.get_mut(&attempt.marshal_key) {
+            marshal.attempt_ended(now, AttemptOutcome::Cancelled, 0, None);
         }
     }
 
-    /// Whether a request may be sent once more after this end of a sending.
-    pub fn may_retry(&self, now: Time, ticket: &RoutedRequest, result: AttemptOutcome) -> bool {
-        let certain = matches!(
-            result,
+    /// Whether a request may be sent again after this outcome.
+    pub fn may_retry(&self, now: Time, request: &RoutedRequest, outcome: AttemptOutcome) -> bool {
+        let certainly_not_run = matches!(
+            outcome,
             AttemptOutcome::Rejected
                 | AttemptOutcome::WrongInstance
                 | AttemptOutcome::ConnectFailed
                 | AttemptOutcome::NotSent
         );
-        // Guards against running twice: what is not repeatable goes on only where it certainly has not run.
-        let may = if ticket.route.class.repeatable() {
-            result != AttemptOutcome::Served
+        // A request that is not repeatable is sent again only when it certainly has not run.
+        let safe_to_resend = if request.route.class.repeatable() {
+            outcome != AttemptOutcome::Served
         } else {
-            certain && !ticket.may_have_run
+            certainly_not_run && !request.may_have_run
         };
-        let tries = ticket.sent < self.max_tries(&ticket.route);
-        may && tries && ticket.missed <= MISSES && now < ticket.deadline
+        let attempts_left = request.attempts < self.max_attempts(&request.route);
+        safe_to_resend && attempts_left && request.undelivered <= MAX_UNDELIVERED && now < request.deadline
     }
 }
--- a/crates/routing/src/router/pick.rs
+++ b/crates/routing/src/router/pick.rs
@@ -1,11 +1,12 @@
-//! Which marshal a request is sent to, and when a second one.
+//! Selects the marshal of an attempt, and when to hedge with a second one.
 
 use super::{
-    connections, unheard_bound, Attempt, RequestHead, RoutedRequest, Router, AWAY, BUDGET_PART, CROSSING,
-    DEEP, HEARD, LONG, NEAR, STEP,
+    max_connections, unconfirmed_limit, Attempt, RequestHead, RoutedRequest, Router, CANARY_LATENCY_SHARE,
+    DURATION_BOUND_FACTOR, EXPOSURE_CONTACT_LIMIT, LOAD_FACTOR_PER_RANK, MAX_LOAD_FACTOR, NETWORK_LATENCY,
+    RETRY_BUDGET_FRACTION, TRANSFER_COST_PER_KB,
 };
 use crate::table::Route;
-use crate::trial::{Out, Trial};
+use crate::trial::{PendingAttempt, Trial};
 use crate::Time;
 use milletwing_config::Kind;
 use milletwing_sequential_test::FINAL_STAGE;
@@ -13,204 +14,250 @@
 use std::rc::Rc;
 
 impl Router {
-    /// A request came. Errors: no configuration, no route, or no known key where the route needs one.
+    /// Routes an incoming request. Errors: no configuration, no route, or no valid API key where
+    /// one is needed.
     pub fn route_request(&mut self, now: Time, head: RequestHead<'_>) -> Result<RoutedRequest, Kind> {
-        if self.of.is_none() {
+        if self.configuration.is_none() {
             return Err(Kind::NotReady);
         }
-        // Guards against a refusal for good by what is known no longer.
+        // Without contact the refusal must not be final: a newer configuration may know the route
+        // or key.
         let unless_newer = |kind| if self.core_contact_lost(now) { Kind::OutOfTouch } else { kind };
         let route = self.table.find(head.host, head.path).ok_or_else(|| unless_newer(Kind::NoRoute))?;
         let route = Rc::clone(route);
-        let tenant = if self.table.tenants.any() && !route.keyless {
+        let tenant = if self.table.tenants.key_required() && !route.keyless {
             let found = head.api_key.and_then(|key| self.table.tenants.find(key));
             Some(Rc::clone(found.ok_or_else(|| unless_newer(Kind::UnknownKey))?))
         } else {
             None
         };
-        let service = Rc::clone(route.service(self.chance.random()).ok_or(Kind::NoMarshal)?);
-        let mut new = false;
+        let service = Rc::clone(route.service_for(self.rng.random()).ok_or(Kind::NoMarshal)?);
+        let mut for_trial_version = false;
         if let Some(service) = self.services.get_mut(&service) {
-            service.budget.request(now);
+            service.budget.record_request(now);
             if let Some(trial) = &mut service.trial {
-                trial.request(now, route.class);
-                let slack = self.bounds.exposureSlack / (self.edges + 2.0);
-                let heard = now.saturating_sub(self.heard) < HEARD;
-                let draw = self.chance.random();
-                new = trial.heads(now, route.class, draw, self.bounds.exposureShare, slack, heard);
+                trial.record_request(now, route.class);
+                let slack = self.guarantees.exposureSlack / (self.edge_count + 2.0);
+                let in_contact = now.saturating_sub(self.last_core_contact) < EXPOSURE_CONTACT_LIMIT;
+                let draw = self.rng.random();
+                for_trial_version = trial.draw_trial_version(
+                    now,
+                    route.class,
+                    draw,
+                    self.guarantees.exposureShare,
+                    slack,
+                    in_contact,
+                );
             }
         }
-        let hold = head.remaining_ms.unwrap_or(u64::MAX).min(route.guard);
+        let time_allowed = head.remaining_ms.unwrap_or(u64::MAX).min(route.time_limit);
         Ok(RoutedRequest {
-            deadline: now + hold,
+            deadline: now + time_allowed,
             route,
             tenant,
             service,
-            tried: Vec::new(),
-            sent: 0,
-            missed: 0,
+            tried_marshals: Vec::new(),
+            attempts: 0,
+            undelivered: 0,
             may_have_run: false,
-            new,
+            for_trial_version,
         })
     }
 
-    /// Marshals that one request of this route may be sent to: as the route had it when the request came, or fewer where a
-    /// newer configuration says so.
-    pub(super) fn max_tries(&self, route: &Route) -> u32 {
-        let current = self.of.as_ref().and_then(|of| of.routing.get(&route.name));
-        let current = current.map_or(route.tries, |newer| newer.max_tries.max(1));
-        route.tries.min(current)
+    /// Maximum number of marshals that one request of this route may be sent to: the limit at the
+    /// time of its arrival, or a lower one from a newer configuration.
+    pub(super) fn max_attempts(&self, route: &Route) -> u32 {
+        let current =
+            self.configuration.as_ref().and_then(|configuration| configuration.routing.get(&route.name));
+        let current = current.map_or(route.max_attempts, |newer| newer.max_tries.max(1));
+        route.max_attempts.min(current)
     }
 
-    /// Picks a marshal for a first sending, or for a further one. Errors: the request's time or its tries are used up, no
-    /// marshal may be sent to, or the budget of further tries is spent.
-    pub fn start_attempt(&mut self, now: Time, ticket: &mut RoutedRequest) -> Result<Attempt, Kind> {
-        if now >= ticket.deadline {
-            return Err(if ticket.may_have_run { Kind::Silent } else { Kind::Expired });
+    /// Selects a marshal and starts an attempt: the first, a retry or a hedge. Errors: the time or
+    /// the attempts are used up, no marshal is available, or the retry budget is exhausted.
+    pub fn start_attempt(&mut self, now: Time, request: &mut RoutedRequest) -> Result<Attempt, Kind> {
+        if now >= request.deadline {
+            return Err(if request.may_have_run { Kind::Silent } else { Kind::Expired });
         }
-        // The one place that owns the limit: whoever asks for a further sending is refused here, whatever was decided earlier.
-        if ticket.sent >= self.max_tries(&ticket.route) {
-            return Err(if ticket.may_have_run { Kind::Broken } else { Kind::TurnedAway });
+        // The limit is enforced here for every attempt, whatever the caller decided earlier.
+        if request.attempts >= self.max_attempts(&request.route) {
+            return Err(if request.may_have_run { Kind::Broken } else { Kind::TurnedAway });
         }
-        let key = self.cheapest(now, ticket)?;
-        if ticket.sent > 0 {
-            self.spend_retry(now, ticket)?;
+        let key = self.select_cheapest(now, request)?;
+        if request.attempts > 0 {
+            self.spend_retry(now, request)?;
         }
-        self.begin(now, ticket, key)
+        self.record_start(now, request, key)
     }
 
-    /// The marshal at which a request costs least, of two drawn from each reach; of all, where none of those may be sent to.
-    fn cheapest(&mut self, now: Time, ticket: &RoutedRequest) -> Result<u64, Kind> {
-        let out_of_touch = self.core_contact_lost(now);
-        let Some(service) = self.services.get(&ticket.service) else { return Err(Kind::NoMarshal) };
-        let repeatable = ticket.route.class.repeatable();
-        let kilobytes = self.weight.get(&ticket.route.name).copied().unwrap_or(4.0);
-        let target = ticket.route.target as f64;
-        // Under pressure room is left for what goes before; never less than what marshals work on at once and as much again.
-        let deep = (DEEP - STEP * f64::from(ticket.rank())).max(2.0);
+    /// The cheapest of two random marshals of each proximity; of all marshals if none of those is
+    /// available.
+    fn select_cheapest(&mut self, now: Time, request: &RoutedRequest) -> Result<u64, Kind> {
+        let contact_lost = self.core_contact_lost(now);
+        let Some(service) = self.services.get(&request.service) else { return Err(Kind::NoMarshal) };
+        let repeatable = request.route.class.repeatable();
+        let kilobytes = self.response_kilobytes.get(&request.route.name).copied().unwrap_or(4.0);
+        let target_latency = request.route.target_latency as f64;
+        // Under load, capacity is reserved for requests that rank first. The limit never falls
+        // below twice the capacity.
+        let max_load_factor =
+            (MAX_LOAD_FACTOR - LOAD_FACTOR_PER_RANK * f64::from(request.priority_rank())).max(2.0);
         let mut best: Option<(f64, u64)> = None;
         let mut full = false;
         let marshals = &mut self.marshals;
-        let (usual, others) = (service.usual, service.others);
-        // A further try of a request goes to the version that is known, as long as that has traffic.
-        let last = service.trial.as_ref().is_some_and(|trial| trial.stage >= FINAL_STAGE);
-        let wanted = last || (ticket.new && ticket.sent == 0);
-        let tried = service.trial.is_some();
-        let unheard = self
-            .of
-            .as_ref()
-            .filter(|_| out_of_touch)
-            .map(|of| unheard_bound(of, &ticket.service, &self.bounds, self.edges));
-        let canaries = service.trial.as_ref().filter(|_| wanted && !last).map_or_else(Vec::new, |trial| {
-            trial.canaries.of(|key| {
-                marshals.get(&key).is_some_and(|marshal| {
-                    let away = if marshal.mean > 0.0 { 0.0 } else { AWAY[marshal.reach as usize] };
-                    // Guards against taking distance for a fault of the version.
-                    let near = marshal.wait(now, usual, others) + away <= NEAR * target;
-                    near && Trial::gives(true, now.saturating_sub(marshal.since))
-                        && ticket.at_home(&marshal.region)
-                })
-            })
+        let (typical_latency, other_load) = (service.mean_latency, service.other_load);
+        // Retries go to the earlier version as long as it has traffic.
+        let at_final_stage = service.trial.as_ref().is_some_and(|trial| trial.stage >= FINAL_STAGE);
+        let trial_version = at_final_stage || (request.for_trial_version && request.attempts == 0);
+        let has_trial = service.trial.is_some();
+        let limit = self.configuration.as_ref().filter(|_| contact_lost).map(|configuration| {
+            unconfirmed_limit(configuration, &request.service, &self.guarantees, self.edge_count)
         });
-        let mut weigh = |key: u64, side: Option<bool>, best: &mut Option<(f64, u64)>, full: &mut bool| {
-            let Some(marshal) = marshals.get_mut(&key) else { return };
-            if side.is_some_and(|side| side != marshal.new)
-                || !ticket.at_home(&marshal.region)
-                || ticket.tried.contains(&key)
-                || !marshal.takes(now, repeatable, unheard)
-            {
-                return;
-            }
-            if marshal.jobs(now) >= deep * marshal.capacity {
-                *full = true;
-                return;
-            }
-            let reach = marshal.reach as usize;
-            let away = if marshal.mean > 0.0 { 0.0 } else { AWAY[reach] };
-            let late = (marshal.wait(now, usual, others) + away) / target;
-            let cost = late.min(2.0) * late.min(2.0) + marshal.failing(now) + CROSSING[reach] * kilobytes;
-            if best.is_none_or(|(least, _)| cost < least) {
-                *best = Some((cost, key));
-            }
-        };
-        let side = tried.then_some(wanted);
-        if ticket.sent == 0 {
-            // A look is a request that goes there first, so that it is known soon.
-            service.looks.iter().for_each(|key| weigh(*key, side, &mut best, &mut full));
+        let canaries = service.trial.as_ref().filter(|_| trial_version && !at_final_stage).map_or_else(
+            Vec::new,
+            |trial| {
+                trial.canaries.select(|key| {
+                    marshals.get(&key).is_some_and(|marshal| {
+                        let network_latency = if marshal.mean_latency > 0.0 {
+                            0.0
+                        } else {
+                            NETWORK_LATENCY[marshal.proximity as usize]
+                        };
+                        // Network distance must not be taken for slowness of the version.
+                        let fast_enough = marshal.expected_latency(now, typical_latency, other_load)
+                            + network_latency
+                            <= CANARY_LATENCY_SHARE * target_latency;
+                        fast_enough
+                            && Trial::gives_evidence(true, now.saturating_sub(marshal.first_seen))
+                            && request.allowed_in(&marshal.region)
+                    })
+                })
+            },
+        );
+        let mut consider =
+            |key: u64, version: Option<bool>, best: &mut Option<(f64, u64)>, full: &mut bool| {
+                let Some(marshal) = marshals.get_mut(&key) else { return };
+                if version.is_some_and(|version| version != marshal.on_trial)
+                    || !request.allowed_in(&marshal.region)
+                    || request.tried_marshals.contains(&key)
+                    || !marshal.accepts(now, repeatable, limit)
+                {
+                    return;
+                }
+                if marshal.estimated_load(now) >= max_load_factor * marshal.capacity {
+                    *full = true;
+                    return;
+                }
+                let proximity = marshal.proximity as usize;
+                let network_latency =
+                    if marshal.mean_latency > 0.0 { 0.0 } else { NETWORK_LATENCY[proximity] };
+                let lateness = (marshal.expected_latency(now, typical_latency, other_load) + network_latency)
+                    / target_latency;
+                let cost = lateness.min(2.0) * lateness.min(2.0)
+                    + marshal.failure_rate(now)
+                    + TRANSFER_COST_PER_KB[proximity] * kilobytes;
+                if best.is_none_or(|(least, _)| cost < least) {
+                    *best = Some((cost, key));
+                }
+            };
+        let version = has_trial.then_some(trial_version);
+        if request.attempts == 0 {
+            // Retests go first, so that the state of an ejected marshal is known soon.
+            service.retested.iter().for_each(|key| consider(*key, version, &mut best, &mut full));
         }
         if best.is_none() {
-            canaries.iter().for_each(|key| weigh(*key, side, &mut best, &mut full));
+            canaries.iter().for_each(|key| consider(*key, version, &mut best, &mut full));
         }
         let found = best.is_some();
-        for reach in service.reach.iter().filter(|_| !found) {
-            if reach.len() <= 2 {
-                reach.iter().for_each(|key| weigh(*key, side, &mut best, &mut full));
+        for candidates in service.by_proximity.iter().filter(|_| !found) {
+            if candidates.len() <= 2 {
+                candidates.iter().for_each(|key| consider(*key, version, &mut best, &mut full));
             } else {
-                let first = self.chance.random_range(0..reach.len());
-                let other = (first + self.chance.random_range(1..reach.len())) % reach.len();
-                weigh(reach[first], side, &mut best, &mut full);
-                weigh(reach[other], side, &mut best, &mut full);
+                let first = self.rng.random_range(0..candidates.len());
+                let other = (first + self.rng.random_range(1..candidates.len())) % candidates.len();
+                consider(candidates[first], version, &mut best, &mut full);
+                consider(candidates[other], version, &mut best, &mut full);
             }
         }
         if best.is_none() {
-            // None of those drawn may be sent to: look at all.
-            service.reach.iter().flatten().for_each(|key| weigh(*key, side, &mut best, &mut full));
+            // None of the drawn marshals is available: consider all.
+            service
+                .by_proximity
+                .iter()
+                .flatten()
+                .for_each(|key| consider(*key, version, &mut best, &mut full));
         }
-        if best.is_none() && wanted {
-            // The earlier version serves what the new one can't.
-            service.reach.iter().flatten().for_each(|key| weigh(*key, None, &mut best, &mut full));
+        if best.is_none() && trial_version {
+            // The earlier version serves what the new one cannot.
+            service.by_proximity.iter().flatten().for_each(|key| consider(*key, None, &mut best, &mut full));
         }
-        let none = if full { Kind::Full } else { Kind::NoMarshal };
-        best.map(|(_, key)| key).ok_or(if ticket.may_have_run { Kind::Broken } else { none })
+        let refusal = if full { Kind::Full } else { Kind::NoMarshal };
+        best.map(|(_, key)| key).ok_or(if request.may_have_run { Kind::Broken } else { refusal })
     }
 
-    /// Takes a further sending from this edge's part of the budget.
-    fn spend_retry(&mut self, now: Time, ticket: &RoutedRequest) -> Result<(), Kind> {
-        let ratio = self.bounds.retryBudgetRatio * BUDGET_PART;
-        let slack = self.bounds.retrySlack * BUDGET_PART / (self.edges + 2.0);
-        let Some(service) = self.services.get_mut(&ticket.service) else { return Err(Kind::NoMarshal) };
-        if service.budget.take(now, ratio, slack) {
+    /// Takes one retry from this edge's part of the retry budget.
+    fn spend_retry(&mut self, now: Time, request: &RoutedRequest) -> Result<(), Kind> {
+        let ratio = self.guarantees.retryBudgetRatio * RETRY_BUDGET_FRACTION;
+        let slack = self.guarantees.retrySlack * RETRY_BUDGET_FRACTION / (self.edge_count + 2.0);
+        let Some(service) = self.services.get_mut(&request.service) else { return Err(Kind::NoMarshal) };
+        if service.budget.try_take(now, ratio, slack) {
             return Ok(());
         }
-        Err(if ticket.may_have_run { Kind::Broken } else { Kind::TurnedAway })
+        Err(if request.may_have_run { Kind::Broken } else { Kind::TurnedAway })
     }
 
-    /// Counts a sending that goes to this marshal now.
-    fn begin(&mut self, now: Time, ticket: &mut RoutedRequest, key: u64) -> Result<Attempt, Kind> {
-        let Some(service) = self.services.get_mut(&ticket.service) else { return Err(Kind::NoMarshal) };
-        let connections = connections(service.connections, self.edges);
+    /// Records the start of an attempt on this marshal.
+    fn record_start(&mut self, now: Time, request: &mut RoutedRequest, key: u64) -> Result<Attempt, Kind> {
+        let Some(service) = self.services.get_mut(&request.service) else { return Err(Kind::NoMarshal) };
+        let limit = max_connections(service.max_sessions, self.edge_count);
         let Some(marshal) = self.marshals.get_mut(&key) else { return Err(Kind::NoMarshal) };
-        marshal.send(now);
-        self.sendings += 1;
-        let number = self.sendings;
+        marshal.attempt_started(now);
+        self.attempt_count += 1;
+        let number = self.attempt_count;
         if let Some(trial) = &mut service.trial {
-            let class = ticket.route.class;
+            let class = request.route.class;
             let covariate = trial.covariate(now, class);
-            let scored = Trial::gives(marshal.new, now.saturating_sub(marshal.since));
-            let until = now + ticket.route.target;
-            trial.sent(number, Out { class, new: marshal.new, covariate, scored, until, late: false });
+            let scored = Trial::gives_evidence(marshal.on_trial, now.saturating_sub(marshal.first_seen));
+            let due = now + request.route.target_latency;
+            trial.attempt_started(
+                number,
+                PendingAttempt {
+                    class,
+                    on_trial: marshal.on_trial,
+                    covariate,
+                    scored,
+                    due,
+                    timed_out: false,
+                },
+            );
         }
-        ticket.tried.push(key);
-        ticket.sent += 1;
-        Ok(Attempt::to(key, marshal, now, connections, number))
+        request.tried_marshals.push(key);
+        request.attempts += 1;
+        Ok(Attempt::new(key, marshal, now, limit, number))
     }
 
-    /// Milliseconds after which a repeatable request without an answer is sent to a second marshal as well.
-    pub fn hedge_delay(&self, ticket: &RoutedRequest, sending: &Attempt) -> Option<Time> {
-        if !ticket.route.class.repeatable() || ticket.sent >= self.max_tries(&ticket.route) {
+    /// Milliseconds after which a repeatable request is hedged, which means sent to a second
+    /// marshal as well; `None` if it may not be.
+    pub fn hedge_delay(&self, request: &RoutedRequest, attempt: &Attempt) -> Option<Time> {
+        if !request.route.class.repeatable() || request.attempts >= self.max_attempts(&request.route) {
             return None;
         }
-        let mean = self.marshals.get(&sending.marshal_key).map_or(0.0, |marshal| marshal.mean);
-        let usual = self.services.get(&ticket.service).map_or(50.0, |service| service.usual);
-        Some((ticket.route.target as f64 * 0.6).max(4.0 * mean.max(usual)) as Time)
+        let marshal_mean =
+            self.marshals.get(&attempt.marshal_key).map_or(0.0, |marshal| marshal.mean_latency);
+        let typical_latency =
+            self.services.get(&request.service).map_or(50.0, |service| service.mean_latency);
+        Some((request.route.target_latency as f64 * 0.6).max(4.0 * marshal_mean.max(typical_latency)) as Time)
     }
 
-    /// Milliseconds that a sending may well take: the expected wait many times over, and twice the route's aim at least.
-    pub fn expected_duration_bound(&self, now: Time, ticket: &RoutedRequest, sending: &Attempt) -> Time {
-        let service = self.services.get(&ticket.service);
-        let (usual, others) = service.map_or((50.0, 0.0), |service| (service.usual, service.others));
-        let marshal = self.marshals.get(&sending.marshal_key);
-        let wait = marshal.map_or(usual, |marshal| marshal.wait(now, usual, others));
-        (2 * ticket.route.target).max((LONG * wait) as Time)
+    /// Upper estimate of an attempt's duration in milliseconds: a multiple of the expected latency,
+    /// and at least twice the target latency.
+    pub fn expected_duration_bound(&self, now: Time, request: &RoutedRequest, attempt: &Attempt) -> Time {
+        let service = self.services.get(&request.service);
+        let (typical_latency, other_load) =
+            service.map_or((50.0, 0.0), |service| (service.mean_latency, service.other_load));
+        let marshal = self.marshals.get(&attempt.marshal_key);
+        let latency = marshal
+            .map_or(typical_latency, |marshal| marshal.expected_latency(now, typical_latency, other_load));
+        (2 * request.route.target_latency).max((DURATION_BOUND_FACTOR * latency) as Time)
     }
 }
--- a/crates/routing/src/router/tables.rs
+++ b/crates/routing/src/router/tables.rs
@@ -1,10 +1,10 @@
-//! The tables that an edge routes by, made from what the core has agreed.
+//! Builds the routing tables of an edge from the agreed state.
 
 use super::{Router, Service};
 use crate::budget::Budget;
 use crate::canary::Canaries;
 use crate::expected_state;
-use crate::marshal::{Marshal, Reach};
+use crate::marshal::{Marshal, Proximity};
 use crate::table::RouteTable;
 use crate::trial::Trial;
 use crate::Time;
@@ -15,118 +15,125 @@
 use std::sync::Arc;
 
 impl Router {
-    /// What it routes by, from the tables in use.
+    /// Exports the routing state in use.
     pub fn export_state(&self, sink: &mut impl Sink) {
         self.table.export_state(sink);
-        // As picks find them: from the lists of each service.
+        // Uses the marshal lists of each service, which are what requests are routed by.
         for (name, service) in &self.services {
-            let listed = service.reach.iter().flatten().filter_map(|key| self.marshals.get(key));
-            let mut known = false;
+            let listed = service.by_proximity.iter().flatten().filter_map(|key| self.marshals.get(key));
+            let mut has_marshals = false;
             for marshal in listed {
-                known = true;
-                let flags = (marshal.open, marshal.new, marshal.part.is_some());
+                has_marshals = true;
+                let flags = (marshal.eligible, marshal.on_trial, marshal.cold_limit.is_some());
                 expected_state::export_marshal(sink, &marshal.id, name, marshal.address, flags);
-                expected_state::export_cold_limit(sink, &marshal.id, marshal.part.unwrap_or(0));
+                expected_state::export_cold_limit(sink, &marshal.id, marshal.cold_limit.unwrap_or(0));
             }
-            if let Some(trial) = service.trial.as_ref().filter(|_| known) {
+            if let Some(trial) = service.trial.as_ref().filter(|_| has_marshals) {
                 expected_state::export_trial(sink, name, trial.number, trial.stage);
             }
         }
     }
 
-    pub(super) fn build(&mut self, now: Time, view: &View, renew: bool) {
+    /// Brings the tables up to date. `rebuild` also renews the agreed state of known marshals.
+    pub(super) fn build_tables(&mut self, now: Time, view: &View, rebuild: bool) {
         if let Some(configuration) = view.configuration() {
-            if self.of.as_ref().is_none_or(|of| !Arc::ptr_eq(of, configuration)) {
+            if self.configuration.as_ref().is_none_or(|current| !Arc::ptr_eq(current, configuration)) {
                 self.table = RouteTable::new(configuration, self.salt);
-                self.of = Some(Arc::clone(configuration));
-                self.weight.retain(|name, _| configuration.routing.contains_key(name));
+                self.configuration = Some(Arc::clone(configuration));
+                self.response_kilobytes.retain(|name, _| configuration.routing.contains_key(name));
             }
         }
-        let gone: Vec<String> =
-            self.keys.keys().filter(|id| !view.nodes.contains_key(id.as_str())).cloned().collect();
-        for id in gone {
-            if let Some(marshal) = self.keys.remove(&id).and_then(|key| self.marshals.remove(&key)) {
-                self.hosts.remove(&marshal.observed.host);
+        let removed: Vec<String> =
+            self.key_by_id.keys().filter(|id| !view.nodes.contains_key(id.as_str())).cloned().collect();
+        for id in removed {
+            if let Some(marshal) = self.key_by_id.remove(&id).and_then(|key| self.marshals.remove(&key)) {
+                self.key_by_host.remove(&marshal.observation.host);
             }
         }
-        let window = (self.bounds.retryWindowS * 1000.0) as Time;
+        let window = (self.guarantees.retryWindowS * 1000.0) as Time;
         for service in self.services.values_mut() {
-            service.reach.iter_mut().for_each(Vec::clear);
-            service.looks.clear();
+            service.by_proximity.iter_mut().for_each(Vec::clear);
+            service.retested.clear();
         }
         for (id, node) in &view.nodes {
-            let key = match self.keys.get(id) {
+            let key = match self.key_by_id.get(id) {
                 Some(key) => *key,
                 None => {
-                    self.next += 1;
-                    self.keys.insert(id.clone(), self.next);
-                    self.next
+                    self.last_key += 1;
+                    self.key_by_id.insert(id.clone(), self.last_key);
+                    self.last_key
                 }
             };
-            let region = self.place.zone_regions.get(&node.zone).map_or(node.zone.as_str(), String::as_str);
-            let reach = if node.zone == self.place.zone {
-                Reach::Zone
-            } else if region == self.place.region {
-                Reach::Region
+            let region =
+                self.location.zone_regions.get(&node.zone).map_or(node.zone.as_str(), String::as_str);
+            let proximity = if node.zone == self.location.zone {
+                Proximity::SameZone
+            } else if region == self.location.region {
+                Proximity::SameRegion
             } else {
-                Reach::Far
+                Proximity::OtherRegion
             };
-            let marshal = self.marshals.entry(key).or_insert_with(|| Marshal::new(node, region, reach, now));
-            if renew {
-                marshal.renew(Marshal::new(node, region, reach, now));
+            let marshal =
+                self.marshals.entry(key).or_insert_with(|| Marshal::new(node, region, proximity, now));
+            if rebuild {
+                marshal.rebuild_from(Marshal::new(node, region, proximity, now));
             }
-            self.hosts.insert(marshal.observed.host, key);
-            marshal.phase(&node.phase, self.place.id);
-            (marshal.open, marshal.new) = view.standing(node);
-            marshal.look = view.suspected.get(id).is_some_and(|looks| looks.contains(&self.place.id));
-            let sessions =
-                self.of.as_ref().and_then(|it| it.targets.get(&node.target)).map_or(64, |it| it.max_sessions);
+            self.key_by_host.insert(marshal.observation.host, key);
+            marshal.set_phase(&node.phase, self.location.id);
+            (marshal.eligible, marshal.on_trial) = view.standing(node);
+            marshal.retest = view.suspected.get(id).is_some_and(|edges| edges.contains(&self.location.id));
+            let max_sessions = self
+                .configuration
+                .as_ref()
+                .and_then(|configuration| configuration.targets.get(&node.target))
+                .map_or(64, |target| target.max_sessions);
             let service = self.services.entry(Rc::from(node.target.as_str())).or_insert_with(|| Service {
-                reach: Default::default(),
-                looks: Vec::new(),
+                by_proximity: Default::default(),
+                retested: Vec::new(),
                 budget: Budget::new(window),
-                usual: 50.0,
-                others: 0.0,
-                connections: sessions,
+                mean_latency: 50.0,
+                other_load: 0.0,
+                max_sessions,
                 trial: None,
             });
-            service.connections = sessions;
-            service.reach[reach as usize].push(key);
-            if view.suspected.get(id).is_some_and(|looks| looks.contains(&self.place.id)) {
-                service.looks.push(key);
+            service.max_sessions = max_sessions;
+            service.by_proximity[proximity as usize].push(key);
+            if view.suspected.get(id).is_some_and(|edges| edges.contains(&self.location.id)) {
+                service.retested.push(key);
             }
         }
-        self.trials(now, view);
+        self.update_trials(now, view);
     }
 
-    fn trials(&mut self, now: Time, view: &View) {
+    /// Brings the trials of all services up to date.
+    fn update_trials(&mut self, now: Time, view: &View) {
         for (name, service) in &mut self.services {
-            let roll = view.rollouts.get(name.as_ref()).filter(|roll| roll.state == State::Active);
-            let Some(roll) = roll else {
+            let rollout = view.rollouts.get(name.as_ref()).filter(|rollout| rollout.state == State::Active);
+            let Some(rollout) = rollout else {
                 service.trial = None;
                 continue;
             };
-            if service.trial.as_ref().is_none_or(|trial| trial.number != roll.number) {
-                service.trial = Some(Trial::new(now, roll));
+            if service.trial.as_ref().is_none_or(|trial| trial.number != rollout.number) {
+                service.trial = Some(Trial::new(now, rollout));
             }
             let Some(trial) = &mut service.trial else { continue };
-            trial.moved(now, roll.stage);
-            let (mut new, mut all, mut first) = (0.0, 0.0, now);
-            for marshal in service.reach.iter().flatten().filter_map(|key| self.marshals.get(key)) {
-                if marshal.open && marshal.part.is_none() {
-                    all += marshal.capacity;
-                    new += if marshal.new { marshal.capacity } else { 0.0 };
+            trial.set_stage(now, rollout.stage);
+            let (mut trial_capacity, mut total_capacity, mut earliest) = (0.0, 0.0, now);
+            for marshal in service.by_proximity.iter().flatten().filter_map(|key| self.marshals.get(key)) {
+                if marshal.eligible && marshal.cold_limit.is_none() {
+                    total_capacity += marshal.capacity;
+                    trial_capacity += if marshal.on_trial { marshal.capacity } else { 0.0 };
                 }
-                if marshal.new {
-                    trial.started = trial.started.max(marshal.since);
-                    first = first.min(marshal.since);
+                if marshal.on_trial {
+                    trial.newest_registered = trial.newest_registered.max(marshal.first_seen);
+                    earliest = earliest.min(marshal.first_seen);
                 }
             }
-            trial.even = new / f64::max(all, 1.0);
-            trial.evidence_from = first + BURN_IN;
-            let part = trial.part(self.bounds.exposureShare);
+            trial.capacity_share = trial_capacity / f64::max(total_capacity, 1.0);
+            trial.evidence_from = earliest + BURN_IN;
+            let traffic_share = trial.traffic_share(self.guarantees.exposureShare);
             let marshals = self.marshals.iter().filter(|(_, marshal)| marshal.service == *name);
-            trial.canaries = Canaries::choose(marshals, part, service.others);
+            trial.canaries = Canaries::choose(marshals, traffic_share, service.other_load);
         }
     }
 }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,4 +1,4 @@
-//! Finds the route of a request: its host's, the longest prefix first.
+//! Finds the route of a request: by host, then by the longest path prefix.
 
 use crate::tenants::{Salt, Tenants};
 use ahash::RandomState;
@@ -8,64 +8,72 @@
 use milletwing_drift_detection::{Part, Sink};
 use std::rc::Rc;
 
-/// A route as requests need it.
+/// A route, prepared for lookups.
 #[derive(Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: String,
-    /// How the path begins.
+    /// Path prefix that a request must have.
     pub prefix: String,
-    /// What may be done with its requests.
+    /// Traffic class, which decides for example whether requests are repeatable.
     pub class: Class,
     /// Milliseconds for which a request may be held.
-    pub guard: u64,
-    /// Milliseconds inside which an answer earns its full worth.
-    pub target: u64,
-    /// How many priorities of this configuration go before its own.
-    pub rank: u32,
-    /// Services, and the shares up to and with each.
+    pub time_limit: u64,
+    /// Target latency in milliseconds: a response within it has its full value.
+    pub target_latency: u64,
+    /// Number of distinct priorities in this configuration that rank before this route's.
+    pub priority_rank: u32,
+    /// Services with cumulative traffic shares.
     pub cumulative_shares: Vec<(Rc<str>, f64)>,
-    /// Marshals that one request may be sent to.
-    pub tries: u32,
-    /// Regions in which it may be served; none: all.
-    pub regions: Vec<String>,
-    /// Its requests need no key.
+    /// Maximum number of marshals that one request may be sent to.
+    pub max_attempts: u32,
+    /// Regions in which the requests may be served; empty means all.
+    pub serving_regions: Vec<String>,
+    /// Requests need no API key.
     pub keyless: bool,
 }
 
 impl Route {
-    /// All that matters about it, under the host by which it is found.
+    /// Exports the content of the route, with the host that it is found by.
     fn export_state(&self, host: &str, sink: &mut impl Sink) {
-        let class = [crate::trial::place(self.class) as u8, u8::from(self.keyless)];
-        let numbers = [self.guard, self.target, u64::from(self.rank), u64::from(self.tries)];
+        let class = [crate::trial::class_index(self.class) as u8, u8::from(self.keyless)];
+        let numbers = [
+            self.time_limit,
+            self.target_latency,
+            u64::from(self.priority_rank),
+            u64::from(self.max_attempts),
+        ];
         let numbers = numbers.map(u64::to_be_bytes).concat();
-        let mut about: Vec<&[u8]> = vec![host.as_bytes(), self.prefix.as_bytes(), &class, &numbers];
+        let mut fields: Vec<&[u8]> = vec![host.as_bytes(), self.prefix.as_bytes(), &class, &numbers];
         let shares: Vec<[u8; 8]> =
-            self.cumulative_shares.iter().map(|(_, upto)| upto.to_be_bytes()).collect();
-        for ((service, _), upto) in self.cumulative_shares.iter().zip(&shares) {
-            about.extend([service.as_bytes(), upto.as_slice()]);
+            self.cumulative_shares.iter().map(|(_, cumulative)| cumulative.to_be_bytes()).collect();
+        for ((service, _), cumulative) in self.cumulative_shares.iter().zip(&shares) {
+            fields.extend([service.as_bytes(), cumulative.as_slice()]);
         }
-        about.extend(self.regions.iter().map(|region| region.as_bytes()));
-        sink.leaf(Part::Routes, &self.name, &about);
+        fields.extend(self.serving_regions.iter().map(|region| region.as_bytes()));
+        sink.leaf(Part::Routes, &self.name, &fields);
     }
 
-    /// The service for a draw from 0 to below 1.
-    pub fn service(&self, draw: f64) -> Option<&Rc<str>> {
-        let whole = self.cumulative_shares.last().map_or(0.0, |(_, upto)| *upto);
-        self.cumulative_shares.iter().find(|(_, upto)| draw * whole < *upto).map(|(service, _)| service)
+    /// The service for a random draw in [0, 1).
+    pub fn service_for(&self, draw: f64) -> Option<&Rc<str>> {
+        let total = self.cumulative_shares.last().map_or(0.0, |(_, cumulative)| *cumulative);
+        self.cumulative_shares
+            .iter()
+            .find(|(_, cumulative)| draw * total < *cumulative)
+            .map(|(service, _)| service)
     }
 }
 
-/// All routes.
+/// All routes of a configuration.
 #[derive(Debug, Default)]
 pub struct RouteTable {
-    hosts: HashMap<String, Vec<Rc<Route>>, RandomState>,
-    /// Those whose keys requests bear.
+    routes_by_host: HashMap<String, Vec<Rc<Route>>, RandomState>,
+    /// Tenants by API key.
     pub tenants: Tenants,
 }
 
 impl RouteTable {
-    /// Of a configuration. `salt`: for digests of keys.
+    /// Builds the table of a configuration. `salt` is used for the digests of API keys.
     pub fn new(configuration: &Configuration, salt: Salt) -> RouteTable {
         let priorities = priorities(configuration);
         let rank = |priority: i64| priorities.partition_point(|it| *it < priority) as u32;
@@ -73,53 +81,53 @@
             RouteTable { tenants: Tenants::new(configuration, salt, rank), ..RouteTable::default() };
         for (name, route) in &configuration.routing {
             let Some(class) = route.class() else { continue };
-            let mut upto = 0.0;
+            let mut cumulative = 0.0;
             let shares = route.shares().into_iter().map(|(service, share)| {
-                upto += share;
-                (Rc::from(service), upto)
+                cumulative += share;
+                (Rc::from(service), cumulative)
             });
-            let shares = shares.collect();
-            let own = Route {
+            let cumulative_shares = shares.collect();
+            let entry = Route {
                 name: name.clone(),
                 prefix: route.path_prefix.clone(),
                 class,
-                guard: (route.guard_s * 1000.0) as u64,
-                target: ((route.target_s * 1000.0) as u64).max(1),
-                rank: rank(route.priority),
-                cumulative_shares: shares,
-                tries: route.max_tries.max(1),
-                regions: route.serving_regions.clone(),
+                time_limit: (route.guard_s * 1000.0) as u64,
+                target_latency: ((route.target_s * 1000.0) as u64).max(1),
+                priority_rank: rank(route.priority),
+                cumulative_shares,
+                max_attempts: route.max_tries.max(1),
+                serving_regions: route.serving_regions.clone(),
                 keyless: route.keyless,
             };
-            table.hosts.entry(host(&route.domain)).or_default().push(Rc::new(own));
+            table.routes_by_host.entry(host(&route.domain)).or_default().push(Rc::new(entry));
         }
-        for routes in table.hosts.values_mut() {
+        for routes in table.routes_by_host.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         table
     }
 
-    /// All routes and tenants, as they are looked up.
+    /// Exports all routes and tenants.
     pub fn export_state(&self, sink: &mut impl Sink) {
         self.tenants.export_state(sink);
-        for (host, routes) in &self.hosts {
+        for (host, routes) in &self.routes_by_host {
             for route in routes {
                 route.export_state(host, sink);
             }
         }
     }
 
-    /// The route of a host and a path.
-    pub fn find(&self, given: &str, path: &str) -> Option<&Rc<Route>> {
-        let routes = match self.hosts.get(given) {
+    /// Finds the route for a host and a path.
+    pub fn find(&self, host_header: &str, path: &str) -> Option<&Rc<Route>> {
+        let routes = match self.routes_by_host.get(host_header) {
             Some(routes) => routes,
-            None => self.hosts.get(&host(given))?,
+            None => self.routes_by_host.get(&host(host_header))?,
         };
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 }
 
-/// All priorities of routes and tenants, each once, highest first.
+/// All distinct priorities of routes and tenants, in the order in which they rank.
 fn priorities(configuration: &Configuration) -> Vec<i64> {
     let routes = configuration.routing.values().map(|route| route.priority);
     let tenants = configuration.subscribers.values().filter_map(|tenant| tenant.priority);
--- a/crates/routing/src/tenants.rs
+++ b/crates/routing/src/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants as requests need them: found by their keys, which are kept as keyed digests only.
+//! Tenants, found by their API keys, which are stored only as salted digests.
 
 use ahash::RandomState;
 use hashbrown::HashMap;
@@ -8,23 +8,25 @@
 use sha2::{Digest, Sha256};
 use std::rc::Rc;
 
-/// Bytes drawn by a process for its digests of keys, so that nobody outside can tell how a key is compared.
+/// Random salt of a process for its key digests, so that an outsider cannot predict how a key is
+/// compared.
 pub type Salt = [u8; 16];
 
-/// A key as it is kept: half of a SHA-256 over the salt and the key. Two keys share one once in 2^64 keys.
+/// Stored form of a key: half of a SHA-256 over the salt and the key. Two keys collide with a
+/// probability of 1 in 2^64.
 type KeyDigest = [u8; 16];
 
 /// A tenant.
 #[derive(Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name, as marshals are told it.
+    /// Name, as sent to marshals.
     pub name: Rc<str>,
-    /// How many priorities of the configuration go before its own, where it has one.
-    pub rank: Option<u32>,
-    /// Regions in which its requests may be served; none: all.
-    pub regions: Vec<String>,
-    /// Digest of its keys without a salt: the same at every machine.
-    keys: [u8; 32],
+    /// Number of distinct priorities that rank before this tenant's, if it has a priority.
+    pub priority_rank: Option<u32>,
+    /// Regions in which its requests may be served; empty means all.
+    pub serving_regions: Vec<String>,
+    /// Unsalted digest of its keys, the same on every machine.
+    keys_digest: [u8; 32],
 }
 
 /// All tenants of a configuration.
@@ -36,15 +38,16 @@
 }
 
 impl Tenants {
-    /// Of a configuration. `rank`: how many of its priorities go before a given one.
+    /// Builds the tenants of a configuration. `rank` gives the number of priorities that rank
+    /// before a given one.
     pub fn new(configuration: &Configuration, salt: Salt, rank: impl Fn(i64) -> u32) -> Tenants {
         let mut tenants = Tenants { salt, ..Tenants::default() };
         for (name, subscriber) in &configuration.subscribers {
             let tenant = Rc::new(Tenant {
                 name: Rc::from(name.as_str()),
-                rank: subscriber.priority.map(&rank),
-                regions: subscriber.serving_regions.clone(),
-                keys: digest_of_keys(subscriber),
+                priority_rank: subscriber.priority.map(&rank),
+                serving_regions: subscriber.serving_regions.clone(),
+                keys_digest: digest_of_keys(subscriber),
             });
             for key in &subscriber.credentials {
                 tenants.by_key.insert(digest(&salt, key), Rc::clone(&tenant));
@@ -54,33 +57,33 @@
         tenants
     }
 
-    /// Whether requests need a key at all.
-    pub fn any(&self) -> bool {
+    /// Whether requests need an API key.
+    pub fn key_required(&self) -> bool {
         !self.all.is_empty()
     }
 
-    /// Whose key it is.
+    /// Finds the tenant of a key.
     pub fn find(&self, key: &str) -> Option<&Rc<Tenant>> {
         self.by_key.get(&digest(&self.salt, key))
     }
 
-    /// All that matters about each, without its keys.
+    /// Exports the content of each tenant, without its keys.
     pub fn export_state(&self, sink: &mut impl Sink) {
         for tenant in &self.all {
-            let rank = tenant.rank.map_or([0xff; 4], u32::to_be_bytes);
-            let mut about: Vec<&[u8]> = vec![&rank, &tenant.keys];
-            about.extend(tenant.regions.iter().map(|region| region.as_bytes()));
-            sink.leaf(Part::Tenants, &tenant.name, &about);
+            let rank = tenant.priority_rank.map_or([0xff; 4], u32::to_be_bytes);
+            let mut fields: Vec<&[u8]> = vec![&rank, &tenant.keys_digest];
+            fields.extend(tenant.serving_regions.iter().map(|region| region.as_bytes()));
+            sink.leaf(Part::Tenants, &tenant.name, &fields);
         }
     }
 }
 
 fn digest(salt: &Salt, key: &str) -> KeyDigest {
-    let whole: [u8; 32] = Sha256::new().chain_update(salt).chain_update(key).finalize().into();
-    std::array::from_fn(|at| whole[at])
+    let hash: [u8; 32] = Sha256::new().chain_update(salt).chain_update(key).finalize().into();
+    std::array::from_fn(|at| hash[at])
 }
 
-/// Over all keys in the order of their bytes, their lengths before them.
+/// Digest over all keys in byte order, each preceded by its length.
 fn digest_of_keys(subscriber: &Subscriber) -> [u8; 32] {
     let mut keys: Vec<&String> = subscriber.credentials.iter().collect();
     keys.sort_unstable();
--- a/crates/routing/src/trial.rs
+++ b/crates/routing/src/trial.rs
@@ -1,5 +1,6 @@
-//! A version on trial, as this edge sees it: the coin within the cap, the covariate fixed before the send, the evidence
-//! and the vote (design; the test is `sequential-test`'s).
+//! A version on trial as seen by this edge: the random assignment of requests within the exposure
+//! cap, the covariate fixed before each attempt, the evidence, and the edge's vote. The statistical
+//! test is in `sequential-test`.
 
 use crate::budget::Budget;
 use crate::canary::Canaries;
@@ -13,16 +14,17 @@
 };
 use std::collections::VecDeque;
 
-/// The window in which exposure is counted, in milliseconds.
-const WINDOW: Time = 10_000;
-/// Parts of the slack of the rules that a window and a whole trial may use before the last stage.
-const LATELY_SLACK: f64 = 0.5;
-const TRIAL_SLACK: f64 = 0.8;
-/// The earlier version's outcomes kept for the covariate.
-const RECENT: usize = 1024;
+/// Window over which recent exposure is counted, in milliseconds.
+const EXPOSURE_WINDOW: Time = 10_000;
+/// Share of the exposure slack that one window may use before the final stage.
+const WINDOW_SLACK_SHARE: f64 = 0.5;
+/// Share of the exposure slack that the whole trial may use before the final stage.
+const TOTAL_SLACK_SHARE: f64 = 0.8;
+/// Number of outcomes of the earlier version that are kept for the covariate.
+const MAX_RECENT_SCORES: usize = 1024;
 
-/// Where a class of requests stands among the sums.
-pub fn place(class: Class) -> usize {
+/// Index of a traffic class in the evidence arrays.
+pub fn class_index(class: Class) -> usize {
     match class {
         Class::Idempotent => 0,
         Class::NonIdempotent => 1,
@@ -30,197 +32,235 @@
     }
 }
 
-/// A sending that is out.
+/// An attempt that has not ended.
 #[derive(Debug)]
-pub struct Out {
-    /// What may be done with its request.
+pub struct PendingAttempt {
+    /// Traffic class of its request.
     pub class: Class,
-    /// To the new version.
-    pub new: bool,
-    /// Fixed before the send.
+    /// It went to the version on trial.
+    pub on_trial: bool,
+    /// Covariate, fixed before the send.
     pub covariate: f64,
-    /// Its marshal gives evidence already.
+    /// Its marshal has been up long enough for the outcome to count as evidence.
     pub scored: bool,
-    /// When it counts as timed out: the aim is missed.
-    pub until: Time,
+    /// Time at which it counts as timed out, because the target latency is missed.
+    pub due: Time,
     /// It has been counted as timed out.
-    pub late: bool,
+    pub timed_out: bool,
 }
 
-/// One trial.
+/// State of one trial.
 #[derive(Debug)]
 pub struct Trial {
-    /// Sendings that are out, by number.
-    out: HashMap<u64, Out>,
-    /// Its number.
+    /// Attempts that have not ended, by number.
+    pending: HashMap<u64, PendingAttempt>,
+    /// Number of the trial.
     pub number: u64,
-    /// Its stage.
+    /// Current stage.
     pub stage: u32,
-    /// When this edge heard of the stage.
-    since: Time,
-    /// Milliseconds that a stage lasts at least.
-    pace: Time,
-    /// Over a window, within the cap of the stage; and over the whole trial, within the bound of the rules.
-    lately: Budget,
-    exposure: ExposureBudget,
-    recent: [VecDeque<(Time, f64)>; CLASS_COUNT],
+    /// When this edge learned of the stage.
+    stage_since: Time,
+    /// Minimum duration of a stage in milliseconds.
+    min_stage_duration: Time,
+    /// Exposure within the window, limited by the cap of the stage.
+    recent_exposure: Budget,
+    /// Exposure over the whole trial, limited by the exposure guarantee.
+    total_exposure: ExposureBudget,
+    /// Recent scores of the earlier version by class, with their times.
+    recent_scores: [VecDeque<(Time, f64)>; CLASS_COUNT],
+    /// Evidence by class: of the earlier version, of the new one.
     sums: [[Sums; 2]; CLASS_COUNT],
-    counts: [f64; CLASS_COUNT],
-    watch: StageTest,
-    /// When the newest marshal of the new version registered.
-    pub started: Time,
-    /// The new version's part of what all marshals of the service work on at once.
-    pub even: f64,
-    /// When the first marshal of the new version gives evidence.
+    request_counts: [f64; CLASS_COUNT],
+    stage_test: StageTest,
+    /// When the newest marshal of the new version was registered.
+    pub newest_registered: Time,
+    /// The new version's share of the service's capacity.
+    pub capacity_share: f64,
+    /// When the first marshal of the new version starts to give evidence.
     pub evidence_from: Time,
-    /// The marshals that bear it before its last stage.
+    /// The marshals that serve the new version before the final stage.
     pub canaries: Canaries,
 }
 
 impl Trial {
-    /// One that this edge hears of now.
-    pub fn new(now: Time, roll: &RollOut) -> Trial {
+    /// Starts tracking a trial that this edge learns of now.
+    pub fn new(now: Time, rollout: &RollOut) -> Trial {
         Trial {
-            out: HashMap::new(),
-            number: roll.number,
-            stage: roll.stage,
-            since: now,
-            pace: min_stage_duration(roll.period_ms),
-            lately: Budget::new(WINDOW),
-            exposure: ExposureBudget::default(),
-            recent: Default::default(),
+            pending: HashMap::new(),
+            number: rollout.number,
+            stage: rollout.stage,
+            stage_since: now,
+            min_stage_duration: min_stage_duration(rollout.period_ms),
+            recent_exposure: Budget::new(EXPOSURE_WINDOW),
+            total_exposure: ExposureBudget::default(),
+            recent_scores: Default::default(),
             sums: Default::default(),
-            counts: [0.0; CLASS_COUNT],
-            watch: StageTest::new(0.0),
-            started: now,
-            even: 0.0,
+            request_counts: [0.0; CLASS_COUNT],
+            stage_test: StageTest::new(0.0),
+            newest_registered: now,
+            capacity_share: 0.0,
             evidence_from: now + BURN_IN,
             canaries: Canaries::default(),
         }
     }
 
-    /// It has moved on.
-    pub fn moved(&mut self, now: Time, stage: u32) {
+    /// Sets the stage, if it has changed.
+    pub fn set_stage(&mut self, now: Time, stage: u32) {
         if stage != self.stage {
-            (self.stage, self.since) = (stage, now);
-            self.watch = StageTest::new(self.sums.iter().map(|arms| arms[1].n).sum());
+            (self.stage, self.stage_since) = (stage, now);
+            self.stage_test = StageTest::new(self.sums.iter().map(|arms| arms[1].n).sum());
         }
     }
 
-    /// Of the service's requests, those that may go to the new version. `share`: the bound of the rules.
-    pub fn part(&self, share: f64) -> f64 {
-        (FILL * stage_cap(self.stage, share)).min(self.even)
+    /// The share of the service's requests that may go to the new version. `share` is the
+    /// guaranteed limit.
+    pub fn traffic_share(&self, share: f64) -> f64 {
+        (FILL * stage_cap(self.stage, share)).min(self.capacity_share)
     }
 
-    /// A request of the service came.
-    pub fn request(&mut self, now: Time, class: Class) {
-        self.lately.request(now);
-        self.exposure.record_request();
-        self.counts[place(class)] += 1.0;
+    /// Counts a request of the service.
+    pub fn record_request(&mut self, now: Time, class: Class) {
+        self.recent_exposure.record_request(now);
+        self.total_exposure.record_request();
+        self.request_counts[class_index(class)] += 1.0;
     }
 
-    /// Whether a request goes to the new version: the coin, within what this edge may expose. `draw`: from 0 to below 1.
-    /// `share`, `slack`: the bounds of the rules, the slack this edge's own part. `heard`: the core was heard lately.
-    pub fn heads(&mut self, now: Time, class: Class, draw: f64, share: f64, slack: f64, heard: bool) -> bool {
+    /// Whether a request goes to the new version, decided by a random draw within what this edge
+    /// may expose. `draw` is in [0, 1). `share` and `slack` are the guaranteed limits, with `slack`
+    /// already this edge's part. `in_contact` tells whether the control plane was in contact recently.
+    pub fn draw_trial_version(
+        &mut self,
+        now: Time,
+        class: Class,
+        draw: f64,
+        share: f64,
+        slack: f64,
+        in_contact: bool,
+    ) -> bool {
         if self.stage >= FINAL_STAGE {
             return true;
         }
-        // Guards against showing requests to marshals whose answers are no evidence yet.
+        // Marshals whose outcomes do not count as evidence yet get no requests.
         if now < self.evidence_from {
             return false;
         }
-        // Guards against exposing more and more on the word of a core that may have sent the version back since.
-        if !heard || (self.stage == 0 && !class.repeatable()) {
+        // Without recent contact no more requests are exposed, since the control plane may have
+        // rolled the version back meanwhile.
+        if !in_contact || (self.stage == 0 && !class.repeatable()) {
             return false;
         }
         let cap = stage_cap(self.stage, share);
-        draw < self.part(share)
-            && self.lately.take(now, cap, LATELY_SLACK * slack)
-            && self.exposure.try_take(share, TRIAL_SLACK * slack)
+        draw < self.traffic_share(share)
+            && self.recent_exposure.try_take(now, cap, WINDOW_SLACK_SHARE * slack)
+            && self.total_exposure.try_take(share, TOTAL_SLACK_SHARE * slack)
     }
 
-    /// The earlier version's mean score of a class over the second before now.
+    /// The earlier version's mean score in a class over the last second.
     pub fn covariate(&mut self, now: Time, class: Class) -> f64 {
-        let lane = &mut self.recent[place(class)];
-        while lane.front().is_some_and(|(at, _)| at + COVARIATE_WINDOW < now) {
-            lane.pop_front();
+        let scores = &mut self.recent_scores[class_index(class)];
+        while scores.front().is_some_and(|(at, _)| at + COVARIATE_WINDOW < now) {
+            scores.pop_front();
         }
-        lane.iter().map(|(_, score)| score).sum::<f64>() / (lane.len() as f64).max(1.0)
+        scores.iter().map(|(_, score)| score).sum::<f64>() / (scores.len() as f64).max(1.0)
     }
 
-    /// A sending goes out.
-    pub fn sent(&mut self, number: u64, out: Out) {
-        self.out.insert(number, out);
+    /// Records that an attempt was sent.
+    pub fn attempt_started(&mut self, number: u64, attempt: PendingAttempt) {
+        self.pending.insert(number, attempt);
     }
 
-    /// A sending has waited longer than this edge waits for one, or is beyond its aim: a time-out, which scores 1 now. Guards
-    /// against a slow version whose slow answers come when all has been decided, or never, since another was faster.
-    pub fn timed_out(&mut self, now: Time, number: u64) {
-        if let Some(out) = self.out.get_mut(&number).filter(|out| !out.late) {
-            out.late = true;
-            let (class, new, covariate, scored) = (out.class, out.new, out.covariate, out.scored);
-            self.outcome(now, class, new, true, covariate, scored);
+    /// Records a time-out, which scores 1: the attempt missed its target latency, or took longer
+    /// than the hedge delay. Counting it now prevents a slow version from escaping
+    /// judgement because its responses come after the decision, or never, when another attempt was
+    /// faster.
+    pub fn record_timeout(&mut self, now: Time, number: u64) {
+        if let Some(attempt) = self.pending.get_mut(&number).filter(|attempt| !attempt.timed_out) {
+            attempt.timed_out = true;
+            let (class, on_trial, covariate, scored) =
+                (attempt.class, attempt.on_trial, attempt.covariate, attempt.scored);
+            self.record_outcome(now, class, on_trial, true, covariate, scored);
         }
     }
 
-    /// A sending ended at a marshal that has answered nothing since it went out: a host without power, or cut off, says nothing
-    /// of its version. Guards against sending a good version back because it has more of its marshals in a zone that was
-    /// lost; if it counted as timed out before that showed, it doesn't any more.
-    pub fn void(&mut self, number: u64) {
-        let Some(out) = self.out.remove(&number).filter(|out| out.late) else { return };
-        if !out.new || out.scored {
-            self.sums[place(out.class)][usize::from(out.new)].remove(1.0, out.covariate);
+    /// Discards an attempt that ended at a marshal which has answered nothing since it was sent: a
+    /// host without power or network says nothing about its version. Without this a good version
+    /// would be rolled back because more of its marshals stood in a lost zone. A time-out that was
+    /// counted before is removed.
+    pub fn discard_attempt(&mut self, number: u64) {
+        let Some(attempt) = self.pending.remove(&number).filter(|attempt| attempt.timed_out) else { return };
+        if !attempt.on_trial || attempt.scored {
+            self.sums[class_index(attempt.class)][usize::from(attempt.on_trial)]
+                .remove(1.0, attempt.covariate);
         }
     }
 
-    /// A sending ended; `bad`: nothing where its end is no outcome.
-    pub fn ended(&mut self, now: Time, number: u64, bad: Option<bool>) {
-        let Some(out) = self.out.remove(&number) else { return };
-        let bad = bad.or((now >= out.until).then_some(true));
-        if let (Some(bad), false) = (bad, out.late) {
-            self.outcome(now, out.class, out.new, bad, out.covariate, out.scored);
+    /// Records the end of an attempt. `bad` is `None` if its end is no outcome.
+    pub fn attempt_ended(&mut self, now: Time, number: u64, failed: Option<bool>) {
+        let Some(attempt) = self.pending.remove(&number) else { return };
+        let failed = failed.or((now >= attempt.due).then_some(true));
+        if let (Some(failed), false) = (failed, attempt.timed_out) {
+            self.record_outcome(
+                now,
+                attempt.class,
+                attempt.on_trial,
+                failed,
+                attempt.covariate,
+                attempt.scored,
+            );
         }
     }
 
-    fn outcome(&mut self, now: Time, class: Class, new: bool, bad: bool, covariate: f64, scored: bool) {
-        let score = f64::from(u8::from(bad));
-        let class = place(class);
-        if !new {
-            let lane = &mut self.recent[class];
-            lane.push_back((now, score));
-            if lane.len() > RECENT {
-                lane.pop_front();
+    fn record_outcome(
+        &mut self,
+        now: Time,
+        class: Class,
+        on_trial: bool,
+        failed: bool,
+        covariate: f64,
+        scored: bool,
+    ) {
+        let score = f64::from(u8::from(failed));
+        let class = class_index(class);
+        if !on_trial {
+            let scores = &mut self.recent_scores[class];
+            scores.push_back((now, score));
+            if scores.len() > MAX_RECENT_SCORES {
+                scores.pop_front();
             }
         }
-        if !new || scored {
-            self.sums[class][usize::from(new)].add(score, covariate);
+        if !on_trial || scored {
+            self.sums[class][usize::from(on_trial)].add(score, covariate);
         }
     }
 
-    /// Whether a marshal known for so long gives evidence.
-    pub fn gives(new: bool, known: Time) -> bool {
-        !new || known >= BURN_IN
+    /// Whether the outcomes of a marshal count as evidence, given the milliseconds since it was
+    /// first seen.
+    pub fn gives_evidence(on_trial: bool, known_for: Time) -> bool {
+        !on_trial || known_for >= BURN_IN
     }
 
-    /// What the core is told, with this edge's vote.
+    /// The report to the control plane, with this edge's vote.
     pub fn report(&mut self, now: Time, service: &str) -> TrialReport {
-        let due: Vec<u64> = self
-            .out
+        let overdue: Vec<u64> = self
+            .pending
             .iter()
-            .filter(|(_, out)| !out.late && now >= out.until)
+            .filter(|(_, attempt)| !attempt.timed_out && now >= attempt.due)
             .map(|(number, _)| *number)
             .collect();
-        due.into_iter().for_each(|number| self.timed_out(now, number));
-        let clock = earliest_advance(self.stage, self.since, self.started, self.pace);
-        // One proxy's evidence is thin: its doubt holds a stage once, the core's for longer.
-        let hold = HoldPolicy { until: clock + self.pace, after: 0.0 };
-        let vote: Option<Vote> = self.watch.evaluate(now, &self.sums, &self.counts, clock, hold);
+        overdue.into_iter().for_each(|number| self.record_timeout(now, number));
+        let earliest =
+            earliest_advance(self.stage, self.stage_since, self.newest_registered, self.min_stage_duration);
+        // One edge has little evidence: its doubt holds a stage for one more minimum duration, the
+        // pooled evidence for longer.
+        let hold = HoldPolicy { until: earliest + self.min_stage_duration, after: 0.0 };
+        let vote: Option<Vote> =
+            self.stage_test.evaluate(now, &self.sums, &self.request_counts, earliest, hold);
         TrialReport {
             service: service.into(),
             number: self.number,
             stage: self.stage,
             sums: self.sums,
-            request_counts: self.counts,
+            request_counts: self.request_counts,
             vote,
         }
     }
--- a/crates/routing/tests/drift.rs
+++ b/crates/routing/tests/drift.rs
@@ -1,5 +1,6 @@
-//! Edges that route by something else than what was agreed: a core's checker and repairer and many edges in one process, whose
-//! tables are turned wrong by hand. Judged after the fact: who was named when, and what was done to whom.
+//! Edges whose routing state differs from the agreed state: a control plane's checker and repairer
+//! with many edges in one process, whose tables are changed by hand. Checked afterwards: which
+//! edges were reported, when, and which repairs were made.
 
 use milletwing_config::settings::Guarantees;
 use milletwing_drift_detection::{Checker, Digest, Finding, Names, Part, Reflection, Repairer, Step};
@@ -44,68 +45,68 @@
     view: View,
     zone: String,
     life: u64,
-    reflected: Time,
+    exported_at: Time,
     resting: bool,
-    /// Its tables are wrong since then, until they are made anew; and whether that alone does not help.
-    wrong: Option<(Time, u32)>,
+    /// When its tables were corrupted, and in which way.
+    corrupted: Option<(Time, u32)>,
 }
 
-/// A core and its edges; entries reach every edge at once, but where a trouble is drawn.
+/// A control plane and its edges. Log entries reach every edge at once, unless the test drops them.
 struct World {
     now: Time,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     view: View,
     table: RouteTable,
     checker: Checker,
     repairer: Repairer,
     edges: BTreeMap<u32, Edge>,
-    /// Who was named first when, as what; and every step that was taken.
-    named: BTreeMap<u32, (Time, Finding)>,
+    /// The first finding on each edge, with its time; and all repair steps.
+    findings: BTreeMap<u32, (Time, Finding)>,
     steps: Vec<(Time, u32, Step)>,
-    most_resting: usize,
+    max_resting: usize,
 }
 
 impl World {
     fn new(seed: u64, edges: u32) -> World {
         let mut world = World {
             now: 1,
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            rng: Pcg64Mcg::seed_from_u64(seed),
             view: View::default(),
             table: RouteTable::default(),
             checker: Checker::new(LAG),
             repairer: Repairer::default(),
             edges: BTreeMap::new(),
-            named: BTreeMap::new(),
+            findings: BTreeMap::new(),
             steps: Vec::new(),
-            most_resting: 0,
+            max_resting: 0,
         };
         for id in 1..=edges {
             let zone = ["a", "b", "c"][id as usize % 3].to_owned();
-            let place =
+            let location =
                 Location { id, zone: zone.clone(), region: "north".into(), zone_regions: BTreeMap::new() };
-            let router = Router::new(place, Guarantees::default(), u64::from(id));
+            let router = Router::new(location, Guarantees::default(), u64::from(id));
             let edge = Edge {
                 router,
                 view: View::default(),
                 zone,
                 life: 1,
-                reflected: 0,
+                exported_at: 0,
                 resting: false,
-                wrong: None,
+                corrupted: None,
             };
             world.edges.insert(id, edge);
             world.checker.attach(1, id, 1);
         }
         let command = world.view.to_configure(1, &body(1, 90)).unwrap();
-        world.enter(command, &[]);
+        world.apply(command, &[]);
         for at in 0..24 {
-            world.enter(Command::NodeUp(node(at, 0, Phase::Warm)), &[]);
+            world.apply(Command::NodeUp(node(at, 0, Phase::Warm)), &[]);
         }
         world
     }
 
-    /// An entry is agreed, and reaches all edges but these.
-    fn enter(&mut self, command: Command, lost: &[u32]) {
+    /// Applies an entry and delivers it to all edges but those in `lost`.
+    fn apply(&mut self, command: Command, lost: &[u32]) {
         let index = self.view.index + 1;
         self.view.apply(index, &command);
         if let Some(configuration) = self.view.configuration() {
@@ -119,11 +120,11 @@
         }
     }
 
-    /// Something happens that is no drift.
-    fn live(&mut self) {
-        let at = self.chance.random_range(0..24);
+    /// Applies a random change that causes no drift.
+    fn apply_random_change(&mut self) {
+        let at = self.rng.random_range(0..24);
         let life = self.now;
-        let command = match self.chance.random_range(0..7) {
+        let command = match self.rng.random_range(0..7) {
             0 => Command::NodeUp(node(at, life, Phase::Cold(vec![(1, 3), (2, 1)]))),
             1 => Command::NodeUp(node(at, life, Phase::Warm)),
             2 => Command::Evacuate { zone: "b".into(), on: true, sure: false, deals: Vec::new() },
@@ -138,32 +139,32 @@
                 Command::NodeDrains { id: ids[at % ids.len()].clone() }
             }
         };
-        self.enter(command, &[]);
+        self.apply(command, &[]);
     }
 
-    /// An edge's tables are turned wrong, in one way of several, without its view knowing.
-    fn turn(&mut self, id: u32, way: u32) {
-        let (now, core) = (self.now, &self.view);
+    /// Corrupts an edge's tables in one of several ways, while its view stays as it was.
+    fn corrupt(&mut self, id: u32, kind: u32) {
+        let (now, agreed) = (self.now, &self.view);
         let edge = self.edges.get_mut(&id).unwrap();
         let mut other = edge.view.clone();
-        let first = core.nodes.values().find(|node| core.standing(node).0).unwrap().clone();
+        let first = agreed.nodes.values().find(|node| agreed.standing(node).0).unwrap().clone();
         let index = other.index;
-        match way % 5 {
+        match kind % 5 {
             // A marshal is missing.
             0 => drop(other.apply(index, &Command::NodeGone { id: first.id, silent: true })),
-            // One that drains still gets requests; or one that is open does not.
+            // A marshal is wrongly taken to be draining.
             1 => drop(other.apply(index, &Command::NodeDrains { id: first.id })),
-            // A share of a route is another.
+            // A route has different traffic shares.
             2 => {
                 let command = other.to_configure(other.revision + 1, &body(other.revision + 1, 7)).unwrap();
                 drop(other.apply(index, &command));
             }
-            // A marshal has another's address.
+            // A marshal has another one's address.
             3 => {
                 let moved = Node { address: "10.9.9.9:80".parse().unwrap(), ..first };
                 drop(other.apply(index, &Command::NodeUp(moved)));
             }
-            // A zone that was never emptied is.
+            // A zone is wrongly taken to be evacuated.
             _ => {
                 let zone = first.zone;
                 drop(
@@ -172,11 +173,12 @@
             }
         }
         edge.router.rebuild(now, &other);
-        edge.wrong = Some((now, way));
+        edge.corrupted = Some((now, kind));
     }
 
-    /// A tenth of a second: pulses, beats, checks, and what is decided.
-    fn tick(&mut self, mend: bool) {
+    /// Advances by 100 ms: heartbeats, reports, checks and repair decisions. `repairable`: a rebuild
+    /// repairs corrupted tables.
+    fn tick(&mut self, repairable: bool) {
         self.now += 100;
         let now = self.now;
         if now % 200 < 100 && self.checker.index() != Some(self.view.index) {
@@ -188,15 +190,15 @@
         let ids: Vec<u32> = self.edges.keys().copied().collect();
         for id in ids {
             let edge = self.edges.get_mut(&id).unwrap();
-            let older = self.checker.heard(now, id, edge.view.index, true);
-            if let Some(finding) = older {
-                self.named.entry(id).or_insert((now, finding.clone()));
+            let finding = self.checker.heard(now, id, edge.view.index, true);
+            if let Some(finding) = finding {
+                self.findings.entry(id).or_insert((now, finding.clone()));
                 self.repairer.told(now, id, edge.life, &edge.zone, finding);
             }
-            if now < edge.reflected + 1_000 || self.checker.index() != Some(self.view.index) {
+            if now < edge.exported_at + 1_000 || self.checker.index() != Some(self.view.index) {
                 continue;
             }
-            edge.reflected = now;
+            edge.exported_at = now;
             let mut digest = Digest::default();
             edge.router.export_state(&mut digest);
             let reflection = Reflection { index: edge.view.index, digest };
@@ -209,7 +211,7 @@
             });
             let finding = self.checker.check(now, id, &reflection, wanted, true);
             if finding.drift() {
-                self.named.entry(id).or_insert((now, finding.clone()));
+                self.findings.entry(id).or_insert((now, finding.clone()));
             }
             self.repairer.told(now, id, edge.life, &edge.zone, finding);
         }
@@ -220,101 +222,103 @@
             let edge = self.edges.get_mut(&order.edge).unwrap();
             match order.step {
                 Step::Again => {}
-                Step::Renew if mend => {
+                Step::Renew if repairable => {
                     edge.view = self.view.clone();
                     edge.router.rebuild(now, &edge.view);
-                    edge.wrong = None;
+                    edge.corrupted = None;
                 }
                 Step::Renew => {}
                 Step::Rest => edge.resting = true,
                 Step::Back => edge.resting = false,
                 Step::End => {
-                    let place = Location {
+                    let location = Location {
                         id: order.edge,
                         zone: edge.zone.clone(),
                         region: "north".into(),
                         zone_regions: BTreeMap::new(),
                     };
-                    edge.router = Router::new(place, Guarantees::default(), now);
+                    edge.router = Router::new(location, Guarantees::default(), now);
                     edge.view = self.view.clone();
                     edge.router.refresh(now, &edge.view);
-                    (edge.life, edge.resting, edge.wrong) = (edge.life + 1, false, None);
+                    (edge.life, edge.resting, edge.corrupted) = (edge.life + 1, false, None);
                     self.checker.attach(now, order.edge, edge.life);
                 }
             }
         }
-        self.most_resting = self.most_resting.max(self.edges.values().filter(|it| it.resting).count());
+        self.max_resting = self.max_resting.max(self.edges.values().filter(|it| it.resting).count());
     }
 }
 
-/// Whatever is agreed, in whatever order: an edge that folds it is never named.
+/// No false positives: whatever entries are applied in whatever order, an edge that applies them
+/// all is never reported.
 #[test]
-fn nobody_is_named_who_follows() {
+fn edges_that_apply_all_entries_are_never_reported() {
     for seed in 0..20 {
         let mut world = World::new(seed, 12);
         for step in 0..1_000 {
-            // Storms of entries, and quiet.
-            if step % 100 < 60 && world.chance.random_range(0..3) == 0 {
-                world.live();
+            // Bursts of entries, then none.
+            if step % 100 < 60 && world.rng.random_range(0..3) == 0 {
+                world.apply_random_change();
             }
             world.tick(true);
         }
-        assert!(world.named.is_empty(), "seed {seed}: {:?}", world.named);
+        assert!(world.findings.is_empty(), "seed {seed}: {:?}", world.findings);
         assert!(world.checker.checked > 500, "{}", world.checker.checked);
     }
 }
 
-/// 200 drawn drifts of one edge among 40: named within a report's time and a half, as what it is, and brought back without
-/// any other being touched.
+/// In 200 random drifts of one edge among 40, the edge is reported within one and a half report
+/// intervals with the right finding, and repaired without any other edge being touched.
 #[test]
-fn a_drifted_edge_is_named_soon_and_brought_back() {
+fn drifted_edge_is_reported_soon_and_repaired() {
     let mut times = Vec::new();
     for seed in 0..200 {
         let mut world = World::new(seed, 40);
         for step in 0..30 {
             if step % 7 == 0 {
-                world.live();
+                world.apply_random_change();
             }
             world.tick(true);
         }
-        let id = world.chance.random_range(1..=40);
-        world.turn(id, seed as u32);
-        let turned = world.now;
+        let id = world.rng.random_range(1..=40);
+        world.corrupt(id, seed as u32);
+        let corrupted_at = world.now;
         for _ in 0..80 {
             world.tick(true);
         }
         let (at, finding) =
-            world.named.get(&id).unwrap_or_else(|| panic!("seed {seed}: nobody named")).clone();
+            world.findings.get(&id).unwrap_or_else(|| panic!("seed {seed}: no finding")).clone();
         let part = if seed % 5 == 2 { Part::Routes } else { Part::Hosts };
         assert!(
             matches!(&finding, Finding::Partial(parts) if parts.contains(&part)),
             "seed {seed}: {finding:?}"
         );
-        times.push(at - turned);
-        assert_eq!(world.named.len(), 1, "seed {seed}: {:?}", world.named);
+        times.push(at - corrupted_at);
+        assert_eq!(world.findings.len(), 1, "seed {seed}: {:?}", world.findings);
         let steps: Vec<Step> = world.steps.iter().map(|(_, _, step)| *step).collect();
         assert_eq!(steps, [Step::Again, Step::Renew], "seed {seed}");
-        assert!(world.steps.iter().all(|(_, whom, _)| *whom == id));
-        assert!(world.edges[&id].wrong.is_none());
+        assert!(world.steps.iter().all(|(_, edge, _)| *edge == id));
+        assert!(world.edges[&id].corrupted.is_none());
     }
     times.sort_unstable();
-    assert!(times[190] <= 1_500, "95 of 100 within a report's time: {} ms", times[190]);
+    assert!(times[190] <= 1_500, "95th percentile of the time until the report: {} ms", times[190]);
 }
 
-/// An entry that never came shows as of the next one, an edge that goes on with an old state as older, a state that nobody
-/// agreed as too new; and a machine that is only late within its bound as nothing.
+/// A lost entry shows once the next one is applied, an edge that keeps an old state is reported as
+/// older, and a state that was never agreed as ahead. An edge that is late within the allowed lag
+/// is not reported.
 #[test]
-fn each_kind_of_drift_has_its_name() {
-    let kind = |trouble: &dyn Fn(&mut World)| {
+fn each_kind_of_drift_is_told_apart() {
+    let kind = |cause_drift: &dyn Fn(&mut World)| {
         let mut world = World::new(1, 9);
         (0..20).for_each(|_| world.tick(true));
-        trouble(&mut world);
+        cause_drift(&mut world);
         (0..40).for_each(|_| world.tick(false));
-        world.named.get(&4).map(|(_, finding)| finding.clone())
+        world.findings.get(&4).map(|(_, finding)| finding.clone())
     };
     let gone = |world: &mut World, lost: &[u32]| {
         let id = world.view.nodes.keys().next().unwrap().clone();
-        world.enter(Command::NodeGone { id, silent: false }, lost);
+        world.apply(Command::NodeGone { id, silent: false }, lost);
     };
     let lost = kind(&|world| {
         gone(world, &[4]);
@@ -330,7 +334,7 @@
         edge.router.refresh(world.now, &edge.view);
     });
     assert_eq!(ahead, Some(Finding::Ahead));
-    // The same tables made in another order are the same.
+    // The same tables built in a different order count as equal.
     let order = kind(&|world| {
         let edge = world.edges.get_mut(&4).unwrap();
         let empty = View::default();
@@ -338,57 +342,59 @@
         edge.router.rebuild(world.now, &edge.view);
     });
     assert_eq!(order, None);
-    // Beats without a word on what it routes by; and one that is not heard at all is unknown, not drifted.
+    // Heartbeats without a state digest are reported as silent. An edge that is not heard at all is
+    // unknown, not drifted.
     let mut checker = Checker::new(LAG);
     checker.own(0, 7, Digest::default());
     checker.attach(0, 4, 1);
     checker.attach(0, 5, 1);
-    let named: Vec<Vec<(u32, u64)>> = (1..60)
+    let silent: Vec<Vec<(u32, u64)>> = (1..60)
         .map(|step| {
             checker.heard(step * 100, 4, 7, true);
             checker.silent(step * 100)
         })
         .collect();
-    assert!(named[..30].iter().all(Vec::is_empty) && named[58] == [(4, 1)], "{named:?}");
-    // Frozen for long, it has its time anew.
+    assert!(silent[..30].iter().all(Vec::is_empty) && silent[58] == [(4, 1)], "{silent:?}");
+    // After a long pause the edge gets the full time again.
     checker.heard(20_000, 4, 7, true);
     assert!(checker.silent(20_100).is_empty());
 }
 
-/// What can't be mended by new tables: it leaves the directory, then ends; one at a time, never the last of its zone, and
-/// nobody at all where most have drifted.
+/// Guards against a repair that takes out too many edges. An edge that a rebuild cannot repair
+/// leaves the directory and then restarts: one at a time, never the last of its zone, and none at
+/// all when most edges have drifted.
 #[test]
-fn healing_never_takes_more_than_the_rest_can_carry() {
+fn repairs_take_out_only_few_edges_at_a_time() {
     for seed in 0..12 {
         let mut world = World::new(seed, 12);
         (0..20).for_each(|_| world.tick(false));
-        let some: BTreeSet<u32> = (0..4).map(|_| world.chance.random_range(1..=12)).collect();
-        some.iter().for_each(|id| world.turn(*id, 0));
+        let corrupted_edges: BTreeSet<u32> = (0..4).map(|_| world.rng.random_range(1..=12)).collect();
+        corrupted_edges.iter().for_each(|id| world.corrupt(*id, 0));
         for _ in 0..1_500 {
             world.tick(false);
         }
-        assert!(world.most_resting <= 1, "seed {seed}: {}", world.most_resting);
-        assert!(world.edges.values().all(|edge| edge.wrong.is_none() && !edge.resting), "seed {seed}");
-        assert!(world.steps.iter().all(|(_, id, _)| some.contains(id)), "seed {seed}");
+        assert!(world.max_resting <= 1, "seed {seed}: {}", world.max_resting);
+        assert!(world.edges.values().all(|edge| edge.corrupted.is_none() && !edge.resting), "seed {seed}");
+        assert!(world.steps.iter().all(|(_, id, _)| corrupted_edges.contains(id)), "seed {seed}");
         let ends: Vec<Time> =
             world.steps.iter().filter(|(_, _, step)| *step == Step::End).map(|(at, ..)| *at).collect();
-        assert_eq!(ends.len(), some.len(), "seed {seed}");
+        assert_eq!(ends.len(), corrupted_edges.len(), "seed {seed}");
         assert!(ends.windows(2).all(|pair| pair[1] - pair[0] >= 30_000), "seed {seed}: {ends:?}");
     }
-    // The last of a zone stays.
+    // The last edge of a zone stays.
     let mut world = World::new(1, 3);
     (0..20).for_each(|_| world.tick(false));
-    world.turn(2, 0);
+    world.corrupt(2, 0);
     (0..200).for_each(|_| world.tick(false));
     assert!(
         world.steps.iter().all(|(_, _, step)| matches!(step, Step::Again | Step::Renew)),
         "{:?}",
         world.steps
     );
-    // Most of them: the core's own view is in doubt.
+    // When most edges differ, the control plane's own view is in doubt.
     let mut world = World::new(2, 12);
     (0..20).for_each(|_| world.tick(false));
-    (1..=7).for_each(|id| world.turn(id, 0));
+    (1..=7).for_each(|id| world.corrupt(id, 0));
     let before = world.steps.len();
     (0..200).for_each(|_| world.tick(false));
     assert!(world.repairer.alarm);
@@ -397,9 +403,9 @@
 }
 
 #[test]
-fn what_differs_is_named() {
+fn differing_entries_are_listed() {
     let mut world = World::new(1, 3);
-    world.turn(2, 3);
+    world.corrupt(2, 3);
     let (mut wanted, mut have) = (Names::default(), Names::default());
     world.table.export_state(&mut wanted);
     expected_state::export_shared(&world.view, &mut wanted);
--- a/crates/routing/tests/outage.rs
+++ b/crates/routing/tests/outage.rs
@@ -1,4 +1,5 @@
-//! Edges that have lost the core: what they send to a marshal that turns cold meanwhile, and what they answer.
+//! Edges without contact to the control plane: what they send to a marshal that has turned cold
+//! meanwhile, and which refusals they give.
 
 mod common;
 
@@ -8,107 +9,110 @@
 use milletwing_replicated_state::{Command, Phase, View};
 use milletwing_routing::{AttemptOutcome, RequestHead, Router, Time};
 
-/// When the core falls silent, when the one marshal in reach turns cold, and the end.
-const SILENT: Time = 1_000;
-const COLD: Time = 6_000;
+/// When contact to the control plane ends, when the only marshal turns cold, and when the test
+/// ends.
+const CONTACT_ENDS: Time = 1_000;
+const TURNS_COLD: Time = 6_000;
 const END: Time = 12_000;
-/// Milliseconds until a health answer is there.
-const ANSWERS: Time = 20;
+/// Milliseconds until a health answer arrives.
+const PROBE_LATENCY: Time = 20;
 const WARMUP_PER_S: f64 = 26.0;
 
-fn allowed() -> usize {
+fn cold_limit() -> usize {
     let bounds = Guarantees::default();
     (WARMUP_PER_S * bounds.warmupExcess + bounds.warmupSlack) as usize
 }
 
-/// Sends as much as it may to the one marshal, and asks for its health as it is told to. Gives the times of what was sent.
-fn press(router: &mut Router, probes: bool) -> Vec<Time> {
+/// Sends as many requests to the only marshal as the router allows, and runs the health probes that
+/// it asks for. Returns the send times.
+fn send_at_full_rate(router: &mut Router, probes: bool) -> Vec<Time> {
     let mut sent = Vec::new();
-    let mut asked = Vec::new();
+    let mut pending_probes = Vec::new();
     for now in 2..END {
-        if now <= SILENT {
+        if now <= CONTACT_ENDS {
             router.core_heard(now);
         }
         if now % 20 == 0 {
-            // Fifty requests a second.
-            let mut ticket = arrive(router, now, "/look/x");
-            if let Ok(sending) = router.start_attempt(now, &mut ticket) {
+            // 50 requests per second.
+            let mut request = arrive(router, now, "/look/x");
+            if let Ok(attempt) = router.start_attempt(now, &mut request) {
                 sent.push(now);
-                router.finish_attempt(now, &mut ticket, &sending, AttemptOutcome::Served, None);
+                router.finish_attempt(now, &mut request, &attempt, AttemptOutcome::Served, None);
             }
         }
         if probes && now % 100 == 0 {
-            asked.extend(router.due_probes(now, 8).into_iter().map(|probe| (now + ANSWERS, probe)));
+            pending_probes
+                .extend(router.due_probes(now, 8).into_iter().map(|probe| (now + PROBE_LATENCY, probe)));
         }
-        for (_, probe) in asked.extract_if(.., |(at, _)| *at <= now) {
-            router.record_probe_result(now, &probe, Some(now < COLD));
+        for (_, probe) in pending_probes.extract_if(.., |(at, _)| *at <= now) {
+            router.record_probe_result(now, &probe, Some(now < TURNS_COLD));
         }
     }
     sent
 }
 
-fn worst(sent: &[Time], from: Time) -> usize {
-    let within = |start: &Time| sent.iter().filter(|at| (*start..*start + 1_000).contains(*at)).count();
-    sent.iter().filter(|at| **at >= from).map(within).max().unwrap_or(0)
+fn max_in_a_second(sent: &[Time], from: Time) -> usize {
+    let sent_within = |start: &Time| sent.iter().filter(|at| (*start..*start + 1_000).contains(*at)).count();
+    sent.iter().filter(|at| **at >= from).map(sent_within).max().unwrap_or(0)
 }
 
-fn lone(view: &mut View) {
+fn add_only_marshal(view: &mut View) {
     view.apply(view.index + 1, &Command::NodeUp(node(0, "v1", Phase::Warm)));
 }
 
 #[test]
-fn two_edges_of_a_zone_cut_off_keep_a_marshal_that_turns_cold_under_its_bound() {
+fn edges_without_contact_limit_a_marshal_that_turns_cold() {
     let mut view = view(0);
-    lone(&mut view);
+    add_only_marshal(&mut view);
     let mut all = Vec::new();
     for id in [0, 4] {
         let mut router = edge(id, &view, 9, 1);
-        let sent = press(&mut router, true);
+        let sent = send_at_full_rate(&mut router, true);
         let warm = sent.iter().filter(|at| (4_500..5_500).contains(*at)).count();
-        assert!(warm >= 45, "a marshal that says that it is warm gets its part: {warm} in a second");
+        assert!(warm >= 45, "a marshal that reports to be warm is limited: {warm} requests in a second");
         all.extend(sent);
     }
     all.sort_unstable();
-    // The last health answer that said warm is believed for a while.
-    let after = worst(&all, COLD);
-    assert!(after <= allowed() + 25, "{after} in a second right after it turned cold");
-    let later = worst(&all, COLD + 1_700);
-    assert!(later <= allowed() / 4, "{later} in a second once that is known");
+    // The last health answer that said warm stays valid for a while.
+    let after = max_in_a_second(&all, TURNS_COLD);
+    assert!(after <= cold_limit() + 25, "{after} requests in a second right after it turned cold");
+    let later = max_in_a_second(&all, TURNS_COLD + 1_700);
+    assert!(later <= cold_limit() / 4, "{later} requests in a second once probes have shown that it is cold");
 }
 
 #[test]
-fn without_health_answers_all_edges_together_stay_under_the_bound() {
+fn without_health_answers_all_edges_together_keep_the_cold_limit() {
     let mut view = view(0);
-    lone(&mut view);
+    add_only_marshal(&mut view);
     let mut all = Vec::new();
     for id in 0..9 {
         let mut router = edge(id, &view, 9, 1);
-        all.extend(press(&mut router, false));
+        all.extend(send_at_full_rate(&mut router, false));
     }
     all.sort_unstable();
-    let after = worst(&all, SILENT + 4_100);
-    assert!(after <= allowed(), "{after} in a second");
+    let after = max_in_a_second(&all, CONTACT_ENDS + 4_100);
+    assert!(after <= cold_limit(), "{after} requests in a second");
 }
 
 #[test]
-fn an_edge_in_touch_asks_nobody_for_its_health() {
+fn no_health_probes_while_in_contact() {
     let mut view = view(0);
-    lone(&mut view);
+    add_only_marshal(&mut view);
     let mut router = edge(0, &view, 9, 1);
     for now in 1..10_000 {
         router.core_heard(now);
-        let mut ticket = arrive(&mut router, now, "/look/x");
-        if let Ok(sending) = router.start_attempt(now, &mut ticket) {
-            router.finish_attempt(now, &mut ticket, &sending, AttemptOutcome::Served, None);
+        let mut request = arrive(&mut router, now, "/look/x");
+        if let Ok(attempt) = router.start_attempt(now, &mut request) {
+            router.finish_attempt(now, &mut request, &attempt, AttemptOutcome::Served, None);
         }
         assert!(router.due_probes(now, 8).is_empty());
     }
 }
 
 #[test]
-fn an_edge_that_lost_the_core_refuses_no_route_for_good() {
+fn unknown_route_is_refused_for_good_only_in_contact() {
     let mut router = edge(0, &view(1), 9, 1);
-    let refused = |router: &mut Router, now| {
+    let route_unknown_path = |router: &mut Router, now| {
         router
             .route_request(
                 now,
@@ -116,16 +120,16 @@
             )
             .unwrap_err()
     };
-    assert_eq!(refused(&mut router, 3_000), Kind::NoRoute);
-    let kind = refused(&mut router, 9_000);
+    assert_eq!(route_unknown_path(&mut router, 3_000), Kind::NoRoute);
+    let kind = route_unknown_path(&mut router, 9_000);
     assert_eq!((kind.clone(), kind.answer().status, kind.answer().promise), (Kind::OutOfTouch, 503, true));
     router.core_heard(9_000);
-    assert_eq!(refused(&mut router, 9_100), Kind::NoRoute);
+    assert_eq!(route_unknown_path(&mut router, 9_100), Kind::NoRoute);
 }
 
-/// A key that is not known may be a newer one.
+/// An unknown key may belong to a newer configuration.
 #[test]
-fn an_edge_that_lost_the_core_refuses_no_key_for_good() {
+fn unknown_key_is_refused_for_good_only_in_contact() {
     let mut view = view(1);
     let text = String::from_utf8(common::body(2)).unwrap();
     let text = text.replacen(
@@ -136,13 +140,17 @@
     let command = view.to_configure(2, text.as_bytes()).unwrap();
     view.apply(9, &command);
     let mut router = edge(0, &view, 9, 1);
-    let come = |router: &mut Router, now, key| {
+    let route_with_key = |router: &mut Router, now, key| {
         let head = RequestHead { host: "h.example", path: "/look/", remaining_ms: None, api_key: Some(key) };
-        router.route_request(now, head).map(|ticket| ticket.tenant.map(|tenant| tenant.name.to_string()))
+        router.route_request(now, head).map(|request| request.tenant.map(|tenant| tenant.name.to_string()))
     };
-    assert_eq!(come(&mut router, 3_000, "newer").unwrap_err(), Kind::UnknownKey);
-    assert_eq!(come(&mut router, 9_000, "newer").unwrap_err(), Kind::OutOfTouch);
-    assert_eq!(come(&mut router, 9_000, "known").unwrap(), Some("t".into()), "what is known still counts");
+    assert_eq!(route_with_key(&mut router, 3_000, "newer").unwrap_err(), Kind::UnknownKey);
+    assert_eq!(route_with_key(&mut router, 9_000, "newer").unwrap_err(), Kind::OutOfTouch);
+    assert_eq!(
+        route_with_key(&mut router, 9_000, "known").unwrap(),
+        Some("t".into()),
+        "known keys stay valid"
+    );
     router.core_heard(9_000);
-    assert_eq!(come(&mut router, 9_100, "newer").unwrap_err(), Kind::UnknownKey);
+    assert_eq!(route_with_key(&mut router, 9_100, "newer").unwrap_err(), Kind::UnknownKey);
 }
