--- a/crates/sequential-test/src/lib.rs
+++ b/crates/sequential-test/src/lib.rs
@@ -1,6 +1,9 @@
-//! The test of one paper on two versions of a service, and the votes made of it. `sums` is the test, `exposure` what one
-//! proxy shows to the new version, `looks` what it makes of its own evidence, `tally` what the core makes of all proxies'
-//! votes and sums. No I/O: time is handed in.
+//! A sequential test that compares two versions of a service, and the votes that follow from it. No
+//! I/O: the caller provides the time.
+//!
+//! `sums` holds the covariate-adjusted test (CUPED), `exposure` limits what one proxy sends to the
+//! new version, `looks` makes one proxy's vote from its own evidence, and `tally` combines the
+//! votes and sums of all proxies in the control plane.
 
 pub mod exposure;
 pub mod looks;
@@ -12,31 +15,37 @@
 pub use sums::{adjusted_test, Sums};
 pub use tally::{TrialDecision, TrialTally};
 
-/// Milliseconds of a steady clock that is the user's.
+/// Milliseconds of a monotonic clock that the caller provides.
 pub type Time = u64;
 
-/// Part of the cap that the coin uses; the rest is room for chance (design: ours).
+/// Fraction of the exposure cap that the random assignment aims for; the rest is headroom for
+/// random variation.
 pub const FILL: f64 = 0.9;
-/// A marshal's first milliseconds that give no evidence, from its registration (design: ours).
+/// Milliseconds after a marshal's registration in which its outcomes do not count as evidence.
 pub const BURN_IN: Time = 3_000;
-/// Milliseconds before a send over which the earlier version's mean score is the covariate (design: ours).
+/// Window before a send, in milliseconds, over which the earlier version's mean score is the
+/// covariate.
 pub const COVARIATE_WINDOW: Time = 1_000;
-/// Outcomes of the new version before a look (design: ours).
+/// Minimum number of outcomes of the new version before a look.
 pub const MIN_N: f64 = 20.0;
-/// Looks at a stage (design: ours).
+/// Maximum number of looks per stage.
 pub const LOOKS: u32 = 3;
-/// One-sided level over a stage's looks (design: ours; the paper tests two-sided, once).
+/// One-sided significance level over the looks of a stage. The CUPED paper uses a single two-sided
+/// test.
 pub const ALPHA: f64 = 0.01;
-/// Below this p the clock holds (design: ours).
+/// Below this p-value a stage is held even when its minimum duration is over.
 pub const HOLD_P: f64 = 0.1;
-/// Below this p what looks doubtful goes no further though its time presses: it goes back at the end (ours).
+/// Below this p-value a stage is held even when its time is running out; the trial then ends with a
+/// roll-back.
 pub const FINAL_HOLD_P: f64 = 0.05;
-/// A surplus of failures below this is left alone: with many outcomes the test finds any difference (ours).
+/// Differences in the failure rate below this are ignored, because with many outcomes the test
+/// finds any difference significant.
 pub const MIN_EFFECT: f64 = 0.015;
-/// Classes of requests: repeatable, not repeatable, large answers.
+/// Number of traffic classes: repeatable, not repeatable, large responses.
 pub const CLASS_COUNT: usize = 3;
 
-/// The cap of each stage, as a part of the service's requests; the first takes safe classes only. The last is all.
+/// Exposure cap of a stage as a fraction of the service's requests. The first stage takes only
+/// repeatable requests; the final stage takes all requests.
 pub fn stage_cap(stage: u32, share: f64) -> f64 {
     match stage {
         0 => share,
@@ -46,24 +55,29 @@
     }
 }
 
-/// The last stage: the new version bears all.
+/// The final stage, in which the new version serves all requests.
 pub const FINAL_STAGE: u32 = 3;
 
-/// Milliseconds from a decision on a stage until the next one is in force at proxies and its evidence comes back.
-const STAGE_TRAVEL: Time = 500;
+/// Milliseconds from the decision on a stage until the next one is in force at the proxies and its
+/// first evidence is back.
+const STAGE_ROUND_TRIP: Time = 500;
 
-/// Milliseconds that a stage lasts at least, for a roll-out that may take so long.
+/// Minimum duration of a stage in milliseconds, for a roll-out period of `period_ms`.
 pub fn min_stage_duration(period_ms: u64) -> Time {
     (period_ms / 12).clamp(500, 2_000)
 }
 
-/// When a stage has to move on for those that follow to have their time before a trial's end.
-pub fn latest_advance(stage: u32, end: Time, pace: Time) -> Time {
-    end.saturating_sub(Time::from(FINAL_STAGE.saturating_sub(stage)) * (pace + STAGE_TRAVEL))
+/// Latest time at which a stage must advance so that the following stages can have their minimum
+/// duration before the trial ends.
+pub fn latest_advance(stage: u32, trial_end: Time, min_duration: Time) -> Time {
+    trial_end
+        .saturating_sub(Time::from(FINAL_STAGE.saturating_sub(stage)) * (min_duration + STAGE_ROUND_TRIP))
 }
 
-/// When a stage may move on without a look: it began then, and the newest marshal of the new version registered then. The
-/// first stage waits for marshals that are cold and give no evidence yet (design: 4 s; ours: as the period allows).
-pub fn earliest_advance(stage: u32, since: Time, started: Time, pace: Time) -> Time {
-    (since + pace).max(started + if stage == 0 { 2 * pace + 1_000 } else { pace })
+/// Earliest time at which a stage may advance without a look, given the start of the stage and the
+/// registration of the new version's newest marshal. The first stage waits longer, for marshals
+/// that are cold and give no evidence yet: 4 s in the original design, here scaled with the period.
+pub fn earliest_advance(stage: u32, stage_since: Time, newest_registered: Time, min_duration: Time) -> Time {
+    (stage_since + min_duration)
+        .max(newest_registered + if stage == 0 { 2 * min_duration + 1_000 } else { min_duration })
 }
--- a/crates/sequential-test/src/tally.rs
+++ b/crates/sequential-test/src/tally.rs
@@ -1,5 +1,5 @@
-//! What the core makes of all proxies' votes, and of their sums added up: a proxy of a large fleet sees a few outcomes a
-//! second, so that its own looks alone would find a bad version late.
+//! Combines the votes and the evidence of all proxies. A proxy of a large fleet sees only a few
+//! outcomes per second, so its own looks alone would detect a bad version late.
 
 use crate::{
     earliest_advance, HoldPolicy, StageTest, Sums, Time, TrialReport, Vote, CLASS_COUNT, FINAL_HOLD_P,
@@ -7,29 +7,29 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What follows.
+/// Decision on a trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrialDecision {
-    /// The next stage; after the last one, the end.
+    /// Advance to the next stage; in the final stage, complete the roll-out.
     Advance,
-    /// Back to the earlier version.
+    /// Roll back to the earlier version.
     RollBack,
 }
 
-/// A trial's evidence, for operators.
+/// Evidence of a trial, for operators.
 #[derive(Clone, Debug, Serialize)]
 pub struct TrialSummary {
-    /// Adjusted surplus of the new version's score.
+    /// Adjusted difference between the new version's score and the earlier one's.
     pub delta: f64,
-    /// One-sided p.
+    /// One-sided p-value.
     pub p: f64,
     /// By class, for the earlier version and the new one: outcomes, and bad ones among them.
     pub classes: Vec<[(f64, f64); 2]>,
-    /// Votes on this stage.
+    /// Votes to advance on this stage.
     pub on: usize,
-    /// Doubtful ones.
+    /// Votes to hold.
     pub hold: usize,
-    /// Votes back.
+    /// Votes to roll back.
     pub back: usize,
     /// Proxies without a vote yet.
     pub silent: usize,
@@ -50,67 +50,75 @@
     }
 }
 
-/// Part of the proxies that vote back which is enough, two at least: one errs at a level of 0.01 a stage.
-const BACK: f64 = 0.2;
-/// Part of the proxies that vote on which is enough.
-const ON: f64 = 0.5;
-/// A report older than this speaks for nobody.
-const FRESH: Time = 3_000;
+/// Fraction of the proxies whose votes suffice for a roll-back, but at least two votes: a single
+/// proxy errs at a level of 0.01 per stage.
+const ROLL_BACK_SHARE: f64 = 0.2;
+/// Fraction of the proxies that must vote to advance.
+const ADVANCE_SHARE: f64 = 0.5;
+/// Votes in reports older than this do not count, in milliseconds.
+const REPORT_VALIDITY: Time = 3_000;
 
-/// The votes on one trial.
+/// Reports of all proxies on one trial.
 #[derive(Debug)]
 pub struct TrialTally {
     stage: u32,
-    /// Since when it is at this stage, as far as this leader knows.
-    since: Time,
+    /// When the current stage began, as far as this leader knows.
+    stage_since: Time,
+    /// Latest report of each proxy instance, with the time at which it arrived.
     reports: BTreeMap<(u32, u64), (Time, TrialReport)>,
-    pooled: StageTest,
+    /// Looks at the evidence of all proxies together.
+    pooled_test: StageTest,
 }
 
 impl TrialTally {
-    /// Of a trial that is at a stage.
+    /// Starts the tally of a trial at a stage.
     pub fn new(now: Time, stage: u32) -> TrialTally {
-        TrialTally { stage, since: now, reports: BTreeMap::new(), pooled: StageTest::new(0.0) }
+        TrialTally { stage, stage_since: now, reports: BTreeMap::new(), pooled_test: StageTest::new(0.0) }
     }
 
-    /// A proxy's report; a later one of the same life takes the place of the earlier, so that none counts twice.
-    pub fn record_report(&mut self, now: Time, proxy: u32, life: u64, report: TrialReport) {
-        if self.reports.len() < 1024 || self.reports.contains_key(&(proxy, life)) {
-            self.reports.insert((proxy, life), (now, report));
+    /// Stores a proxy's report. A later report of the same proxy instance replaces the earlier one,
+    /// so that no outcome counts twice.
+    pub fn record_report(&mut self, now: Time, proxy: u32, instance: u64, report: TrialReport) {
+        if self.reports.len() < 1024 || self.reports.contains_key(&(proxy, instance)) {
+            self.reports.insert((proxy, instance), (now, report));
         }
     }
 
-    /// The trial has moved on.
+    /// Sets the stage, if it has changed.
     pub fn set_stage(&mut self, now: Time, stage: u32) {
         if stage != self.stage {
-            (self.stage, self.since) = (stage, now);
-            self.pooled = StageTest::new(self.pool().0.iter().map(|arms| arms[1].n).sum());
+            (self.stage, self.stage_since) = (stage, now);
+            self.pooled_test = StageTest::new(self.pooled_evidence().0.iter().map(|arms| arms[1].n).sum());
         }
     }
 
     /// Evidence of all proxies: sums and requests by class.
-    pub fn pool(&self) -> ([[Sums; 2]; CLASS_COUNT], [f64; CLASS_COUNT]) {
+    pub fn pooled_evidence(&self) -> ([[Sums; 2]; CLASS_COUNT], [f64; CLASS_COUNT]) {
         let mut sums = [[Sums::default(); 2]; CLASS_COUNT];
-        let mut counts = [0.0; CLASS_COUNT];
+        let mut request_counts = [0.0; CLASS_COUNT];
         for (_, report) in self.reports.values() {
-            for (all, told) in sums.iter_mut().zip(&report.sums) {
-                for (arm, more) in all.iter_mut().zip(told) {
-                    *arm = arm.plus(more);
+            for (total, reported) in sums.iter_mut().zip(&report.sums) {
+                for (arm, addition) in total.iter_mut().zip(reported) {
+                    *arm = arm.plus(addition);
                 }
             }
-            for (all, told) in counts.iter_mut().zip(&report.request_counts) {
-                *all += told;
+            for (total, reported) in request_counts.iter_mut().zip(&report.request_counts) {
+                *total += reported;
             }
         }
-        (sums, counts)
+        (sums, request_counts)
     }
 
-    /// The evidence in words: by class what each version has, p, and who votes what on the stage.
+    /// The evidence, the p-value and the votes on the current stage.
     pub fn summary(&self) -> TrialSummary {
-        let (sums, counts) = self.pool();
-        let (delta, _, _, p) = crate::adjusted_test(&sums, &counts);
-        let votes =
-            |vote| self.reports.values().filter(|(_, it)| it.stage == self.stage && it.vote == vote).count();
+        let (sums, request_counts) = self.pooled_evidence();
+        let (delta, _, _, p) = crate::adjusted_test(&sums, &request_counts);
+        let votes = |vote| {
+            self.reports
+                .values()
+                .filter(|(_, report)| report.stage == self.stage && report.vote == vote)
+                .count()
+        };
         TrialSummary {
             delta,
             p,
@@ -122,32 +130,43 @@
         }
     }
 
-    /// What follows now, if anything. `started`: when the newest marshal of the new version registered; `pace`: how long a
-    /// stage lasts at least; `latest`: when it has to move on for those that follow to have their time. What looks doubtful does not
-    /// move on before that, nor then if there is much doubt: more requests would be shown to it.
-    pub fn decide(&mut self, now: Time, started: Time, pace: Time, latest: Time) -> Option<TrialDecision> {
-        let fresh =
-            || self.reports.values().filter(|(at, _)| now.saturating_sub(*at) <= FRESH).map(|(_, it)| it);
-        let here = || fresh().filter(|report| report.stage == self.stage);
-        let back = fresh().filter(|report| report.vote == Some(Vote::RollBack)).count() as f64;
-        let all = fresh().count() as f64;
-        if back >= (BACK * all).max(2.0) {
+    /// The decision that follows now, if any. `newest_registered` is when the newest marshal of the
+    /// new version was registered, `min_duration` the minimum duration of a stage, and `latest` the
+    /// latest time to advance. A doubtful stage does not advance before `latest`, and with much
+    /// doubt not even then, because that would expose more requests.
+    pub fn decide(
+        &mut self,
+        now: Time,
+        newest_registered: Time,
+        min_duration: Time,
+        latest: Time,
+    ) -> Option<TrialDecision> {
+        let fresh = || {
+            self.reports
+                .values()
+                .filter(|(at, _)| now.saturating_sub(*at) <= REPORT_VALIDITY)
+                .map(|(_, report)| report)
+        };
+        let on_this_stage = || fresh().filter(|report| report.stage == self.stage);
+        let roll_backs = fresh().filter(|report| report.vote == Some(Vote::RollBack)).count() as f64;
+        let reporting = fresh().count() as f64;
+        if roll_backs >= (ROLL_BACK_SHARE * reporting).max(2.0) {
             return Some(TrialDecision::RollBack);
         }
-        let (sums, counts) = self.pool();
-        let clock = earliest_advance(self.stage, self.since, started, pace);
-        let pooled = self.pooled.evaluate(
+        let (sums, request_counts) = self.pooled_evidence();
+        let earliest = earliest_advance(self.stage, self.stage_since, newest_registered, min_duration);
+        let pooled_vote = self.pooled_test.evaluate(
             now,
             &sums,
-            &counts,
-            clock,
+            &request_counts,
+            earliest,
             HoldPolicy { until: latest, after: FINAL_HOLD_P },
         );
-        if pooled == Some(Vote::RollBack) {
+        if pooled_vote == Some(Vote::RollBack) {
             return Some(TrialDecision::RollBack);
         }
-        let on = here().filter(|report| report.vote == Some(Vote::Advance)).count() as f64;
-        let enough = all > 0.0 && on >= ON * all;
-        (now >= clock && pooled == Some(Vote::Advance) && enough).then_some(TrialDecision::Advance)
+        let advances = on_this_stage().filter(|report| report.vote == Some(Vote::Advance)).count() as f64;
+        let enough = reporting > 0.0 && advances >= ADVANCE_SHARE * reporting;
+        (now >= earliest && pooled_vote == Some(Vote::Advance) && enough).then_some(TrialDecision::Advance)
     }
 }
--- a/crates/sequential-test/tests/population.rs
+++ b/crates/sequential-test/tests/population.rs
@@ -1,5 +1,5 @@
-//! A population of proxies and a core that tallies, over many seeds: how often a good version goes back, and how soon a bad
-//! one does. Requests are drawn as one proxy of a fleet sees them.
+//! Simulates many proxies and a control plane over many seeds: how often a good version is rolled
+//! back, and how soon a bad one is. Requests are drawn as a single proxy of a fleet sees them.
 
 use milletwing_sequential_test::{
     earliest_advance, latest_advance, min_stage_duration, stage_cap, ExposureBudget, HoldPolicy, StageTest,
@@ -8,19 +8,20 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// What a version does: its share of failures at a stage.
-type Harm = fn(u32) -> f64;
+/// Additional failure rate of the new version at a stage.
+type ExtraFailures = fn(u32) -> f64;
 
 struct Proxy {
     sums: [[Sums; 2]; CLASS_COUNT],
-    counts: [f64; CLASS_COUNT],
+    request_counts: [f64; CLASS_COUNT],
     exposure: ExposureBudget,
-    watch: StageTest,
+    stage_test: StageTest,
     stage: u32,
-    since: Time,
+    stage_since: Time,
 }
 
-/// A service's proxies and its requests a second, all together; and milliseconds of a roll-out.
+/// A service: its proxies, the requests per second over all of them, and the roll-out period in
+/// milliseconds.
 #[derive(Clone, Copy)]
 struct Service {
     proxies: usize,
@@ -28,68 +29,78 @@
     period: Time,
 }
 
-/// Plays a roll-out. Gives its end, when, and how many requests the new version got.
-fn play(seed: u64, service: Service, failing: f64, harm: Harm) -> (Option<TrialDecision>, Time, u32) {
+/// Simulates a roll-out. Returns the decision that ended it, the time, and the number of requests
+/// that the new version got.
+fn simulate(
+    seed: u64,
+    service: Service,
+    failure_rate: f64,
+    extra_failures: ExtraFailures,
+) -> (Option<TrialDecision>, Time, u32) {
     let Service { proxies, rate, period } = service;
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
-    let pace = min_stage_duration(period);
+    let mut rng = Pcg64Mcg::seed_from_u64(seed);
+    let min_duration = min_stage_duration(period);
     let mut tally = TrialTally::new(0, 0);
-    let fresh = || Proxy {
+    let new_proxy = || Proxy {
         sums: Default::default(),
-        counts: [0.0; CLASS_COUNT],
+        request_counts: [0.0; CLASS_COUNT],
         exposure: ExposureBudget::default(),
-        watch: StageTest::new(0.0),
+        stage_test: StageTest::new(0.0),
         stage: 0,
-        since: 0,
+        stage_since: 0,
     };
-    let mut all: Vec<Proxy> = (0..proxies).map(|_| fresh()).collect();
+    let mut proxy_states: Vec<Proxy> = (0..proxies).map(|_| new_proxy()).collect();
     let (mut stage, mut exposed) = (0, 0);
     for now in (0..period * 19 / 20).step_by(50) {
-        let due = rate * 0.05;
-        let count = due as usize + usize::from(chance.random_bool(due.fract()));
+        let expected_requests = rate * 0.05;
+        let count = expected_requests as usize + usize::from(rng.random_bool(expected_requests.fract()));
         for _ in 0..count {
-            let at = chance.random_range(0..proxies);
-            let proxy = &mut all[at];
-            let class = if chance.random_bool(0.15) { 2 } else { 0 };
-            proxy.counts[class] += 1.0;
+            let at = rng.random_range(0..proxies);
+            let proxy = &mut proxy_states[at];
+            let class = if rng.random_bool(0.15) { 2 } else { 0 };
+            proxy.request_counts[class] += 1.0;
             proxy.exposure.record_request();
             let new = stage >= FINAL_STAGE
                 || now >= BURN_IN
-                    && chance.random_bool(FILL * stage_cap(stage, 0.1))
+                    && rng.random_bool(FILL * stage_cap(stage, 0.1))
                     && proxy.exposure.try_take(0.1, 40.0 / (proxies as f64 + 2.0));
-            let bad = chance.random_bool(if new { (failing + harm(stage)).min(1.0) } else { failing });
+            let bad = rng.random_bool(if new {
+                (failure_rate + extra_failures(stage)).min(1.0)
+            } else {
+                failure_rate
+            });
             exposed += u32::from(new);
-            proxy.sums[class][usize::from(new)].add(f64::from(u8::from(bad)), failing);
+            proxy.sums[class][usize::from(new)].add(f64::from(u8::from(bad)), failure_rate);
         }
         if now % 250 != 0 {
             continue;
         }
-        for (at, proxy) in all.iter_mut().enumerate() {
+        for (at, proxy) in proxy_states.iter_mut().enumerate() {
             if proxy.stage != stage {
-                (proxy.stage, proxy.since) = (stage, now);
-                proxy.watch = StageTest::new(proxy.sums.iter().map(|arms| arms[1].n).sum());
+                (proxy.stage, proxy.stage_since) = (stage, now);
+                proxy.stage_test = StageTest::new(proxy.sums.iter().map(|arms| arms[1].n).sum());
             }
-            let clock = earliest_advance(stage, proxy.since, 0, pace);
-            let vote = proxy.watch.evaluate(
+            let earliest = earliest_advance(stage, proxy.stage_since, 0, min_duration);
+            let vote = proxy.stage_test.evaluate(
                 now,
                 &proxy.sums,
-                &proxy.counts,
-                clock,
-                HoldPolicy { until: clock + pace, after: 0.0 },
+                &proxy.request_counts,
+                earliest,
+                HoldPolicy { until: earliest + min_duration, after: 0.0 },
             );
             let report = TrialReport {
                 service: "s".into(),
                 number: 1,
                 stage,
                 sums: proxy.sums,
-                request_counts: proxy.counts,
+                request_counts: proxy.request_counts,
                 vote,
             };
-            // Every report comes twice: none counts twice.
+            // Every report arrives twice and must count once.
             tally.record_report(now, at as u32, 1, report.clone());
             tally.record_report(now, at as u32, 1, report);
         }
-        match tally.decide(now, 0, pace, latest_advance(stage, period * 19 / 20, pace)) {
+        match tally.decide(now, 0, min_duration, latest_advance(stage, period * 19 / 20, min_duration)) {
             Some(TrialDecision::RollBack) => return (Some(TrialDecision::RollBack), now, exposed),
             Some(TrialDecision::Advance) if stage >= FINAL_STAGE => {
                 return (Some(TrialDecision::Advance), now, exposed)
@@ -104,62 +115,80 @@
     (None, period, exposed)
 }
 
-const QUIET: Service = Service { proxies: 9, rate: 88.0, period: 10_000 };
+const LOW_TRAFFIC: Service = Service { proxies: 9, rate: 88.0, period: 10_000 };
 
 #[test]
-fn good_versions_go_on_in_time_and_seldom_back() {
+fn good_versions_complete_in_time_and_are_rarely_rolled_back() {
     let services = [(8, 60.0), (9, 560.0), (40, 560.0), (91, 750.0)].map(|(proxies, rate)| Service {
         proxies,
         rate,
         period: 15_000,
     });
-    for service in services.into_iter().chain([QUIET]) {
+    for service in services.into_iter().chain([LOW_TRAFFIC]) {
         let Service { proxies, .. } = service;
         let seeds = 1_000;
-        let ends: Vec<_> = (0..seeds).map(|seed| play(seed, service, 0.01, |_| 0.0)).collect();
-        let back = ends.iter().filter(|(end, ..)| *end == Some(TrialDecision::RollBack)).count();
-        let on = ends.iter().filter(|(end, ..)| *end == Some(TrialDecision::Advance)).count();
-        // The level of a stage is 0.01; there are four, looked at by the core and voted on by two proxies at least.
+        let results: Vec<_> = (0..seeds).map(|seed| simulate(seed, service, 0.01, |_| 0.0)).collect();
+        let rolled_back =
+            results.iter().filter(|(decision, ..)| *decision == Some(TrialDecision::RollBack)).count();
+        let completed =
+            results.iter().filter(|(decision, ..)| *decision == Some(TrialDecision::Advance)).count();
+        // The significance level of a stage is 0.01. There are four stages, each judged by the
+        // control plane and by the votes of at least two proxies.
         assert!(
-            back * 100 <= seeds as usize * 4,
-            "{proxies} proxies: {back} of {seeds} good versions went back"
+            rolled_back * 100 <= seeds as usize * 4,
+            "{proxies} proxies: {rolled_back} of {seeds} good versions were rolled back"
+        );
+        assert!(
+            completed * 20 >= seeds as usize * 19,
+            "{proxies} proxies: {completed} of {seeds} were completed in time"
         );
-        assert!(on * 20 >= seeds as usize * 19, "{proxies} proxies: {on} of {seeds} were done in their time");
     }
 }
 
-/// What of the requests that a service gets in its roll-out may go to a bad version, by the rules.
-fn bound(service: Service) -> f64 {
+/// Maximum number of requests of a roll-out that may go to a bad version.
+fn exposure_bound(service: Service) -> f64 {
     0.1 * service.rate * service.period as f64 / 1_000.0 + 50.0
 }
 
+/// Versions that are bad at once or only under load, which is from the second stage on.
 #[test]
-fn bad_versions_go_back_whether_they_are_bad_at_once_or_under_load() {
-    let kinds: [(&str, Harm); 3] = [
-        ("half fail", |_| 0.5),
-        ("a sixth fail", |_| 0.16),
-        ("under load", |stage| if stage >= 1 { 0.5 } else { 0.0 }),
+fn bad_versions_are_rolled_back() {
+    let kinds: [(&str, ExtraFailures); 3] = [
+        ("half of the requests fail", |_| 0.5),
+        ("a sixth of the requests fail", |_| 0.16),
+        ("half fail from the second stage on", |stage| if stage >= 1 { 0.5 } else { 0.0 }),
     ];
-    for (name, harm) in kinds {
+    for (name, extra_failures) in kinds {
         for (proxies, rate) in [(9, 560.0), (91, 750.0)] {
             let service = Service { proxies, rate, period: 15_000 };
-            let ends: Vec<_> = (0..200).map(|seed| play(seed, service, 0.01, harm)).collect();
-            let back = ends.iter().filter(|(end, ..)| *end == Some(TrialDecision::RollBack)).count();
-            assert!(back >= 190, "{name}, {proxies} proxies: {back} of 200 went back");
-            // The bound of the rules over the whole time, and its slack.
-            let most = ends.iter().map(|(_, _, exposed)| *exposed).max().unwrap_or(0);
-            assert!(f64::from(most) <= bound(service), "{name}, {proxies} proxies: {most} requests exposed");
+            let results: Vec<_> =
+                (0..200).map(|seed| simulate(seed, service, 0.01, extra_failures)).collect();
+            let rolled_back =
+                results.iter().filter(|(decision, ..)| *decision == Some(TrialDecision::RollBack)).count();
+            assert!(rolled_back >= 190, "{name}, {proxies} proxies: {rolled_back} of 200 were rolled back");
+            // The exposure guarantee over the whole roll-out, with its slack.
+            let max_exposed = results.iter().map(|(_, _, exposed)| *exposed).max().unwrap_or(0);
+            assert!(
+                f64::from(max_exposed) <= exposure_bound(service),
+                "{name}, {proxies} proxies: {max_exposed} requests exposed"
+            );
         }
     }
 }
 
-/// Guards against a bad version that is completed at a quiet service, since it looked doubtful there when a stage's time was over
-/// and no worse (EXPOSURE). Two stages look at it within the bound, each at a level of 0.01.
+/// Guards against completing a bad version at a service with little traffic, where it looks
+/// doubtful, and no worse, when the time of a stage is over. Two stages judge it within the
+/// exposure guarantee, each at a level of 0.01.
 #[test]
-fn a_bad_version_at_a_quiet_service_is_not_completed() {
-    let ends: Vec<_> = (0..1_000).map(|seed| play(seed, QUIET, 0.01, |_| 0.12)).collect();
-    let completed = ends.iter().filter(|(end, ..)| *end == Some(TrialDecision::Advance)).count();
-    let over = ends.iter().filter(|(_, _, exposed)| f64::from(*exposed) > bound(QUIET)).count();
+fn bad_version_with_low_traffic_is_not_completed() {
+    let results: Vec<_> = (0..1_000).map(|seed| simulate(seed, LOW_TRAFFIC, 0.01, |_| 0.12)).collect();
+    let completed = results.iter().filter(|(decision, ..)| *decision == Some(TrialDecision::Advance)).count();
+    let over_bound =
+        results.iter().filter(|(_, _, exposed)| f64::from(*exposed) > exposure_bound(LOW_TRAFFIC)).count();
     assert_eq!(completed, 0);
-    assert!(over * 100 <= 2 * ends.len(), "{over} of {} exposed beyond the bound", ends.len());
+    assert!(
+        over_bound * 100 <= 2 * results.len(),
+        "{over_bound} of {} exposed more than allowed",
+        results.len()
+    );
 }
