--- a/crates/outlier-detection/src/board.rs
+++ b/crates/outlier-detection/src/board.rs
@@ -1,43 +1,44 @@
-//! The newest load of each host. An edge of a large fleet meets a host once in many seconds, so that what it was told itself
-//! is old; all edges together meet every host several times a second.
+//! Latest load of each host. An edge of a large fleet sends to a host only once in many seconds, so
+//! the loads that it was told itself are old; all edges together reach every host several times a
+//! second.
 
 use crate::{HostObservation, Time};
 use std::collections::BTreeMap;
 
-/// Hosts at most.
-const MOST: usize = 16_384;
-/// A load older than this is told to nobody, in milliseconds.
-const OLD: Time = 2_000;
+/// Maximum number of hosts.
+const MAX_HOSTS: usize = 16_384;
+/// Loads older than this are not passed on, in milliseconds.
+const LOAD_VALIDITY: Time = 2_000;
 
-/// Loads by host.
+/// Latest loads by host.
 #[derive(Debug, Default)]
 pub struct LoadBoard {
-    /// Load, when it was told, and whether edges have not heard of it yet.
+    /// Load, time of the report, and whether it has not been passed on to edges yet.
     loads: BTreeMap<u32, (u16, Time, bool)>,
 }
 
 impl LoadBoard {
-    /// Takes what an edge met, so many milliseconds ago.
-    pub fn record(&mut self, now: Time, observed: &[HostObservation], ago: Time) {
-        let at = now.saturating_sub(ago);
-        for observed in observed {
-            let Some(load) = observed.load else { continue };
-            let room = self.loads.len() < MOST;
-            match self.loads.get_mut(&observed.host) {
-                // Guards against an older word that went a longer way.
-                Some((_, known, _)) if *known > at => {}
-                Some(known) => *known = (load, at, true),
-                None if room => drop(self.loads.insert(observed.host, (load, at, true))),
+    /// Records the observations of an edge, made `ago` milliseconds ago.
+    pub fn record(&mut self, now: Time, observations: &[HostObservation], ago: Time) {
+        let observed_at = now.saturating_sub(ago);
+        for observation in observations {
+            let Some(load) = observation.load else { continue };
+            let has_room = self.loads.len() < MAX_HOSTS;
+            match self.loads.get_mut(&observation.host) {
+                // An older report that arrived late must not replace a newer one.
+                Some((_, known, _)) if *known > observed_at => {}
+                Some(known) => *known = (load, observed_at, true),
+                None if has_room => drop(self.loads.insert(observation.host, (load, observed_at, true))),
                 None => {}
             }
         }
     }
 
-    /// What is new since the last call.
+    /// Takes the loads that have changed since the last call.
     pub fn take_updates(&mut self, now: Time) -> Vec<(u32, u16)> {
-        self.loads.retain(|_, (_, at, _)| now.saturating_sub(*at) < OLD);
-        let fresh = self.loads.iter_mut().filter(|(_, (_, _, fresh))| *fresh);
-        fresh
+        self.loads.retain(|_, (_, at, _)| now.saturating_sub(*at) < LOAD_VALIDITY);
+        let unsent = self.loads.iter_mut().filter(|(_, (_, _, pending))| *pending);
+        unsent
             .map(|(host, known)| {
                 known.2 = false;
                 (*host, known.0)
--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -1,5 +1,8 @@
-//! What edges meet at hosts, told by their beats and added up at the core. `observed` is what one edge met, `board` the newest
-//! load of each host as any edge was told it, `tally` which hosts are taken out by agreement. No I/O: time is handed in.
+//! Outlier detection: edges report in their heartbeats what they observe of hosts, and the control
+//! plane combines the reports. No I/O: the caller provides the time.
+//!
+//! `observed` is the observation of one edge, `board` the latest load that any edge was told for
+//! each host, and `tally` decides which hosts are ejected.
 
 pub mod board;
 pub mod observed;
@@ -9,5 +12,5 @@
 pub use observed::{host_key, HostObservation};
 pub use tally::{HostAction, KnownHost, OutlierDetector};
 
-/// Milliseconds of a steady clock that is the user's.
+/// Milliseconds of a monotonic clock that the caller provides.
 pub type Time = u64;
--- a/crates/outlier-detection/src/observed.rs
+++ b/crates/outlier-detection/src/observed.rs
@@ -1,24 +1,25 @@
-//! What one edge met at one host since its last beat.
+//! Observations of one host by one edge since its last heartbeat.
 
 use serde::{Deserialize, Serialize};
 
-/// Counts of answers and of ends without one, and the host's last word on its load.
+/// Counts of the outcomes of attempts at a host, and the last load that it reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostObservation {
-    /// The host's life, as a number that all make the same way.
+    /// Numeric key of the host instance, see [`host_key`].
     pub host: u32,
-    /// Requests there, running and waiting, where it told.
+    /// Requests running and waiting there, if reported.
     pub load: Option<u16>,
-    /// Whole answers, and refusals of its own: it is there and does its work.
+    /// Complete responses, and rejections by the host itself: it is reachable and works.
     pub answered: u16,
-    /// Failures of its own and bytes that are no answer.
+    /// Server errors and invalid responses.
     pub failed: u16,
-    /// No connection, or silence.
+    /// Connection failures and time-outs.
     pub unreachable: u16,
 }
 
-/// A life's id as a number (FNV-1a, 32 bits). Two lives that share one are taken for each other: among a thousand that
-/// happens once in some ten thousand fleets, and costs a wrong guess of a load, never a wrong address.
+/// Numeric key of a host instance (32-bit FNV-1a of its id). Two instances with the same key are
+/// confused: among a thousand instances that happens in about one of ten thousand fleets. It leads
+/// to a wrong estimate of a load, never to a wrong address.
 pub fn host_key(id: &str) -> u32 {
     id.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
