--- a/crates/edge-proxy/src/edge.rs
+++ b/crates/edge-proxy/src/edge.rs
@@ -1,9 +1,10 @@
-//! What all parts of an edge share: the decisions, the view of what the core agreed, connections to marshals, the clock.
+//! State shared by all parts of an edge: the router, the replicated view, the connection pool and
+//! the clock.
 
 use crate::metrics::Metrics;
-use crate::pool::{Dial, Pool};
+use crate::pool::{Connector, Pool};
 use milletwing_config::{event, Settings};
-use milletwing_drift_detection::{Digest, Reflection, Step};
+use milletwing_drift_detection::{Digest, Step, TableDigest};
 use milletwing_replicated_state::{EdgeStatus, View};
 use milletwing_routing::{Location, Router, Time};
 use std::cell::{Cell, RefCell};
@@ -11,22 +12,24 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Milliseconds between two digests of the tables in use; with over a thousand marshals, one for each.
-const REFLECT: Time = 1_000;
+/// Interval between two digests of the routing tables. With more than a thousand marshals, one
+/// millisecond per marshal.
+const DIGEST_INTERVAL_MS: Time = 1_000;
 
-/// Milliseconds before this process ends by which a marshal is to be done: its answer still has to come back and go on.
-const ANSWER_TRAVEL: Time = 250;
+/// Milliseconds before the process exits by which a marshal must have finished, so that its
+/// response can still be received and forwarded.
+const RESPONSE_RETURN_MS: Time = 250;
 
-/// The time that a process has from SIGTERM to its end.
+/// When the phases of a shutdown begin, from SIGTERM to the exit of the process.
 #[derive(Clone, Copy, Debug)]
-pub struct Leaving {
-    /// From here on only what is likely to be done by the end is taken.
+pub struct ShutdownSchedule {
+    /// From this time on, only requests that are likely to finish before `exits_at` are accepted.
     pub selective_from: Time,
-    /// This process ends.
-    pub ends: Time,
+    /// The process exits.
+    pub exits_at: Time,
 }
 
-/// Shared by all tasks of the one thread; no borrow lives across an await.
+/// State shared by all tasks. They run on one thread, and no borrow is held across an await.
 pub struct Edge {
     pub name: String,
     pub settings: RefCell<Settings>,
@@ -34,75 +37,82 @@
     pub view: RefCell<View>,
     pub pool: Pool,
     pub metrics: Metrics,
-    /// Clients' connections, and requests under way.
+    /// Open client connections.
     pub connections: Cell<usize>,
+    /// Requests in flight.
     pub requests: Cell<usize>,
-    /// It leaves: no new client should come, and what comes is done by its end.
-    pub leaving: Cell<Option<Leaving>>,
-    /// It rests until the core finds that it routes by what was agreed.
-    resting: Cell<bool>,
-    /// The core has it end in order.
-    pub end: Notify,
-    /// What it routes by, to be told with the next beat; when that was made last; and whether it was asked for in whole.
-    pub reflection: Cell<Option<Reflection>>,
-    reflected: Cell<Time>,
-    pub asked: Cell<bool>,
-    /// Idle connections close.
-    pub close: Notify,
-    /// What it says of itself has changed.
-    pub changed: Notify,
+    /// Set once a shutdown has begun: the edge attracts no new clients, and accepts only what
+    /// finishes before it exits.
+    pub shutdown: Cell<Option<ShutdownSchedule>>,
+    /// Out of service by order of the core, until the core finds that the edge routes by the agreed
+    /// state.
+    quarantined: Cell<bool>,
+    /// Notified when the core orders the process to shut down, to be restarted by the platform.
+    pub restart_requested: Notify,
+    /// The digest of the routing tables for the next report.
+    pub pending_digest: Cell<Option<TableDigest>>,
+    /// When the last digest was made.
+    digest_made_at: Cell<Time>,
+    /// Set when the core has requested the names that the digest is made of.
+    pub names_requested: Cell<bool>,
+    /// Notified when client connections are to close after the response in flight.
+    pub close_connections: Notify,
+    /// Notified when the status that the edge reports has changed.
+    pub status_changed: Notify,
+    /// Revision of the last configuration that was applied.
     revision: Cell<u64>,
     ingress: SocketAddrV4,
-    life: u64,
-    began: Instant,
+    /// Random number that identifies this run of the process.
+    incarnation: u64,
+    started: Instant,
 }
 
 impl Edge {
-    /// Knows nothing yet. `dial`: how marshals are reached.
-    pub fn new(settings: Settings, ingress: SocketAddrV4, dial: Dial) -> std::rc::Rc<Edge> {
-        let place = Location {
+    /// Creates an edge without a configuration. `connector` opens connections to marshals.
+    pub fn new(settings: Settings, ingress: SocketAddrV4, connector: Connector) -> std::rc::Rc<Edge> {
+        let location = Location {
             id: settings.id(),
             zone: settings.own.zone.clone(),
             region: settings.own.region.clone(),
             zone_regions: settings.network.zones.clone(),
         };
-        let router = Router::new(place, settings.timers.guarantees.clone(), rand::random());
+        let router = Router::new(location, settings.timers.guarantees.clone(), rand::random());
         std::rc::Rc::new(Edge {
             name: settings.own.node_name.clone(),
             settings: RefCell::new(settings),
             router: RefCell::new(router),
             view: RefCell::new(View::default()),
-            pool: Pool::new(dial),
+            pool: Pool::new(connector),
             metrics: Metrics::default(),
             connections: Cell::new(0),
             requests: Cell::new(0),
-            leaving: Cell::new(None),
-            resting: Cell::new(false),
-            end: Notify::new(),
-            reflection: Cell::new(None),
-            reflected: Cell::new(0),
-            asked: Cell::new(false),
-            close: Notify::new(),
-            changed: Notify::new(),
+            shutdown: Cell::new(None),
+            quarantined: Cell::new(false),
+            restart_requested: Notify::new(),
+            pending_digest: Cell::new(None),
+            digest_made_at: Cell::new(0),
+            names_requested: Cell::new(false),
+            close_connections: Notify::new(),
+            status_changed: Notify::new(),
             revision: Cell::new(0),
             ingress,
-            life: rand::random(),
-            began: Instant::now(),
+            incarnation: rand::random(),
+            started: Instant::now(),
         })
     }
 
-    /// Milliseconds since the process began; never 0.
+    /// Milliseconds since the process started; never 0.
     pub fn now(&self) -> Time {
-        self.began.elapsed().as_millis() as Time + 1
+        self.started.elapsed().as_millis() as Time + 1
     }
 
-    /// Whether clients should come.
+    /// Whether clients should be sent to this edge.
     pub fn ready(&self) -> bool {
-        self.leaving.get().is_none() && !self.resting.get() && self.router.borrow().has_configuration()
+        self.shutdown.get().is_none() && !self.quarantined.get() && self.router.borrow().has_configuration()
     }
 
-    /// What the core is told.
-    pub fn heard(&self) -> EdgeStatus {
+    /// The status of this edge as reported to the core.
+    pub fn status(&self) -> EdgeStatus {
         let settings = self.settings.borrow();
         EdgeStatus {
             id: settings.id(),
@@ -110,79 +120,82 @@
             region: settings.own.region.clone(),
             ingress: self.ingress,
             ready: self.ready(),
-            life: self.life,
+            incarnation: self.incarnation,
         }
     }
 
-    /// No new client should come.
-    pub fn leave(&self, leaving: Leaving) {
-        self.leaving.set(Some(leaving));
-        self.changed.notify_waiters();
+    /// Takes the edge out of service and sets when it exits.
+    pub fn begin_shutdown(&self, shutdown: ShutdownSchedule) {
+        self.shutdown.set(Some(shutdown));
+        self.status_changed.notify_waiters();
     }
 
-    /// Milliseconds that a marshal may work on a request, so that its own answer still passes here.
-    pub fn time_to_work(&self, deadline: Time) -> Time {
-        let leaving = self.leaving.get();
-        let until =
-            leaving.map_or(deadline, |leaving| deadline.min(leaving.ends.saturating_sub(ANSWER_TRAVEL)));
-        until.saturating_sub(self.now())
+    /// Milliseconds that a marshal may spend on a request so that its response can still be
+    /// forwarded before the deadline and before this process exits.
+    pub fn processing_time_left(&self, deadline: Time) -> Time {
+        let shutdown = self.shutdown.get();
+        let work_deadline = shutdown
+            .map_or(deadline, |shutdown| deadline.min(shutdown.exits_at.saturating_sub(RESPONSE_RETURN_MS)));
+        work_deadline.saturating_sub(self.now())
     }
 
-    /// Whether a request that is expected to take so many milliseconds comes too late to be taken.
-    pub fn too_late(&self, expected: Time) -> bool {
+    /// Whether a request that is expected to take `expected` milliseconds would not finish before
+    /// this process exits.
+    pub fn is_too_late(&self, expected: Time) -> bool {
         let now = self.now();
-        self.leaving
+        self.shutdown
             .get()
-            .is_some_and(|leaving| now >= leaving.selective_from && now + expected > leaving.ends)
+            .is_some_and(|shutdown| now >= shutdown.selective_from && now + expected > shutdown.exits_at)
     }
 
-    /// Makes the digest of the tables in use, where the last one is a second old; later where they are large, so that it
-    /// takes no more than a few thousandths of the processor.
-    pub fn reflect(&self, now: Time) {
-        let due =
-            self.reflected.get() + REFLECT.max(self.view.borrow().nodes.len() as Time * REFLECT / 1_000);
+    /// Makes a new digest of the routing tables if the last one is a second old. With large tables
+    /// it is made less often, so that it uses no more than a few thousandths of a processor.
+    pub fn update_digest(&self, now: Time) {
+        let due = self.digest_made_at.get()
+            + DIGEST_INTERVAL_MS.max(self.view.borrow().nodes.len() as Time * DIGEST_INTERVAL_MS / 1_000);
         if now < due {
             return;
         }
-        self.reflected.set(now);
+        self.digest_made_at.set(now);
         let mut digest = Digest::default();
         self.router.borrow().export_state(&mut digest);
-        self.reflection.set(Some(Reflection { index: self.view.borrow().index, digest }));
+        self.pending_digest.set(Some(TableDigest { index: self.view.borrow().index, digest }));
     }
 
-    /// Does what the core has decided, to be brought back.
-    pub fn repair(&self, step: Step) {
-        event!(Repairs, "{}", step.word());
+    /// Applies a repair step that the core has ordered because this edge had drifted from the
+    /// agreed state.
+    pub fn apply_repair(&self, step: Step) {
+        event!(Repairs, "{}", step.as_str());
         match step {
             Step::Back | Step::Rest => {
-                self.resting.set(step == Step::Rest);
-                self.changed.notify_waiters();
+                self.quarantined.set(step == Step::Rest);
+                self.status_changed.notify_waiters();
             }
-            Step::End => self.end.notify_one(),
-            // The core's part: it sends again what lacks, or all.
+            Step::End => self.restart_requested.notify_one(),
+            // Done by the core: it resends the missing entries, or the whole state.
             Step::Again | Step::Renew => {}
         }
     }
 
-    /// The whole view has come anew: all tables are made from it.
-    pub fn renew(&self) {
-        event!(Repairs, "{}", Step::Renew.word());
+    /// Rebuilds all routing tables from a view that the core has sent in full.
+    pub fn rebuild(&self) {
+        event!(Repairs, "{}", Step::Renew.as_str());
         self.router.borrow_mut().rebuild(self.now(), &self.view.borrow());
-        self.reflected.set(0);
-        self.refresh();
+        self.digest_made_at.set(0);
+        self.apply_view();
     }
 
-    /// The view has changed.
-    pub fn refresh(&self) {
-        let was = self.ready();
+    /// Updates the routing tables and the connection pool after a change of the view.
+    pub fn apply_view(&self) {
+        let was_ready = self.ready();
         let revision = self.view.borrow().revision;
         if self.revision.replace(revision) != revision {
             event!(Configured, "revision {revision}");
         }
         self.router.borrow_mut().refresh(self.now(), &self.view.borrow());
-        self.pool.forget(|marshal| self.router.borrow().contains_marshal(marshal));
-        if self.ready() != was {
-            self.changed.notify_waiters();
+        self.pool.retain_marshals(|marshal| self.router.borrow().contains_marshal(marshal));
+        if self.ready() != was_ready {
+            self.status_changed.notify_waiters();
         }
     }
 }
--- a/crates/edge-proxy/src/metrics.rs
+++ b/crates/edge-proxy/src/metrics.rs
@@ -1,18 +1,19 @@
-//! What an edge counts (`docs/metrics.md`).
+//! The metrics that an edge counts (`docs/metrics.md`).
 
-use milletwing_config::configuration::Class;
-use milletwing_config::Kind;
+use milletwing_config::configuration::TrafficClass;
+use milletwing_config::ErrorKind;
 use milletwing_metrics::{exponential_buckets, Histogram};
 use milletwing_routing::AttemptOutcome;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The shortest duration that is told apart, in seconds, and how many buckets double it: up to 16 s.
-const SHORTEST_S: f64 = 0.002;
-const BUCKETS: u16 = 14;
+/// Upper bound of the first histogram bucket in seconds, and the number of buckets. Each bound is
+/// twice the one before, up to 16 s.
+const FIRST_BUCKET_S: f64 = 0.002;
+const BUCKET_COUNT: u16 = 14;
 
-/// Counters of an edge since its process began.
+/// Counters of an edge since its process started.
 pub struct Metrics {
     pub requests: RefCell<BTreeMap<(&'static str, &'static str), u64>>,
     pub tries: RefCell<BTreeMap<&'static str, u64>>,
@@ -24,14 +25,14 @@
         Metrics {
             requests: RefCell::default(),
             tries: RefCell::default(),
-            durations: Histogram::new(exponential_buckets(SHORTEST_S, 2.0, BUCKETS)),
+            durations: Histogram::new(exponential_buckets(FIRST_BUCKET_S, 2.0, BUCKET_COUNT)),
         }
     }
 }
 
 impl Metrics {
-    /// A request has a marshal's answer, of this status class, after so long.
-    pub fn answered(&self, class: Class, status: u16, took: Duration) {
+    /// Counts a request that received a marshal's response with this status after `duration`.
+    pub fn answered(&self, class: TrafficClass, status: u16, duration: Duration) {
         let outcome = match status {
             ..=299 => "answered_2xx",
             300..=399 => "answered_3xx",
@@ -39,52 +40,53 @@
             500.. => "answered_5xx",
         };
         *self.requests.borrow_mut().entry((class_label(Some(class)), outcome)).or_default() += 1;
-        self.durations.observe(took.as_secs_f64());
+        self.durations.observe(duration.as_secs_f64());
     }
 
-    /// A request ended with this edge's own answer.
-    pub fn refused(&self, class: Option<Class>, kind: &Kind) {
+    /// Counts a request that this edge answered itself.
+    pub fn refused(&self, class: Option<TrafficClass>, kind: &ErrorKind) {
         *self.requests.borrow_mut().entry((class_label(class), reason_label(kind))).or_default() += 1;
     }
 
-    /// One sending of a request ended.
-    pub fn try_ended(&self, result: AttemptOutcome) {
-        *self.tries.borrow_mut().entry(try_label(result)).or_default() += 1;
+    /// Counts a finished attempt.
+    pub fn attempt_ended(&self, outcome: AttemptOutcome) {
+        *self.tries.borrow_mut().entry(outcome_label(outcome)).or_default() += 1;
     }
 }
 
-fn class_label(class: Option<Class>) -> &'static str {
+fn class_label(class: Option<TrafficClass>) -> &'static str {
     match class {
-        Some(Class::Idempotent) => "idempotent",
-        Some(Class::NonIdempotent) => "non_idempotent",
-        Some(Class::Downlink) => "downlink",
+        Some(TrafficClass::Idempotent) => "idempotent",
+        Some(TrafficClass::NonIdempotent) => "non_idempotent",
+        Some(TrafficClass::Downlink) => "downlink",
         None => "unknown",
     }
 }
 
-/// A bounded set of words: kinds that no client of an edge meets are one.
-fn reason_label(kind: &Kind) -> &'static str {
+/// Label of a refusal. The set of labels is bounded: kinds that clients of an edge do not encounter
+/// share one.
+fn reason_label(kind: &ErrorKind) -> &'static str {
     match kind {
-        Kind::NoRoute => "no_route",
-        Kind::UnknownKey => "unknown_key",
-        Kind::OutOfTouch => "out_of_touch",
-        Kind::BadRequest(_) => "bad_request",
-        Kind::HeadTooLarge => "head_too_large",
-        Kind::BodyTooLarge => "body_too_large",
-        Kind::NotReady => "not_ready",
-        Kind::Leaving => "leaving",
-        Kind::Full => "full",
-        Kind::NoMarshal => "no_marshal",
-        Kind::TurnedAway => "turned_away",
-        Kind::Expired => "expired",
-        Kind::Broken => "broken",
-        Kind::Silent => "silent",
+        ErrorKind::NoRoute => "no_route",
+        ErrorKind::Unauthorized => "unknown_key",
+        ErrorKind::CoreUnreachable => "out_of_touch",
+        ErrorKind::BadRequest(_) => "bad_request",
+        ErrorKind::HeadTooLarge => "head_too_large",
+        ErrorKind::BodyTooLarge => "body_too_large",
+        ErrorKind::NotConfigured => "not_ready",
+        ErrorKind::ShuttingDown => "leaving",
+        ErrorKind::AtCapacity => "full",
+        ErrorKind::NoReachableMarshal => "no_marshal",
+        ErrorKind::RejectedByMarshal => "turned_away",
+        ErrorKind::DeadlineExceeded => "expired",
+        ErrorKind::MarshalDisconnected => "broken",
+        ErrorKind::ResponseTimeout => "silent",
         _ => "other",
     }
 }
 
-fn try_label(result: AttemptOutcome) -> &'static str {
-    match result {
+fn outcome_label(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
         AttemptOutcome::Served => "served",
         AttemptOutcome::Failed => "failed",
         AttemptOutcome::Rejected => "turned_away",
--- a/crates/routing/src/expected_state.rs
+++ b/crates/routing/src/expected_state.rs
@@ -2,13 +2,13 @@
 //! same format as the state in use, which [`Router::export_state`](crate::Router::export_state)
 //! writes, so that the two can be compared for drift.
 
-use milletwing_drift_detection::{Part, Sink};
-use milletwing_replicated_state::{Phase, State, View};
+use milletwing_drift_detection::{LeafSink, Part};
+use milletwing_replicated_state::{Phase, RollOutState, View};
 use std::collections::BTreeSet;
 
 /// Exports one marshal instance.
 pub fn export_marshal(
-    sink: &mut impl Sink,
+    sink: &mut impl LeafSink,
     id: &str,
     service: &str,
     address: std::net::SocketAddrV4,
@@ -20,23 +20,23 @@
 }
 
 /// Exports the number of requests per second that an edge may send to a cold marshal.
-pub fn export_cold_limit(sink: &mut impl Sink, id: &str, limit: u32) {
+pub fn export_cold_limit(sink: &mut impl LeafSink, id: &str, limit: u32) {
     if limit > 0 {
         sink.leaf(Part::Deals, id, &[&limit.to_be_bytes()]);
     }
 }
 
 /// Exports the stage of a trial.
-pub fn export_trial(sink: &mut impl Sink, service: &str, number: u64, stage: u32) {
+pub fn export_trial(sink: &mut impl LeafSink, service: &str, number: u64, stage: u32) {
     sink.leaf(Part::Trials, service, &[&number.to_be_bytes(), &stage.to_be_bytes()]);
 }
 
 /// Exports the agreed state that is the same for all edges, apart from the routes: marshals and
 /// trials.
-pub fn export_shared(view: &View, sink: &mut impl Sink) {
+pub fn export_shared(view: &View, sink: &mut impl LeafSink) {
     let mut services = BTreeSet::new();
     for (id, node) in &view.nodes {
-        let (eligible, on_trial) = view.standing(node);
+        let (eligible, on_trial) = view.eligibility(node);
         export_marshal(
             sink,
             id,
@@ -48,14 +48,14 @@
     }
     for (service, rollout) in &view.rollouts {
         // An edge that knows no marshal of a service has no trial for it.
-        if rollout.state == State::Active && services.contains(service.as_str()) {
+        if rollout.state == RollOutState::Active && services.contains(service.as_str()) {
             export_trial(sink, service, rollout.number, rollout.stage);
         }
     }
 }
 
 /// Exports the agreed limits for cold marshals of one edge.
-pub fn export_cold_limits(view: &View, edge: u32, sink: &mut impl Sink) {
+pub fn export_cold_limits(view: &View, edge: u32, sink: &mut impl LeafSink) {
     for (id, node) in &view.nodes {
         if let Phase::Cold(limits) = &node.phase {
             export_cold_limit(
--- a/crates/routing/src/router/outcome.rs
+++ b/crates/routing/src/router/outcome.rs
@@ -102,7 +102,7 @@
                 | AttemptOutcome::NotSent
         );
         // A request that is not repeatable is sent again only when it certainly has not run.
-        let safe_to_resend = if request.route.class.repeatable() {
+        let safe_to_resend = if request.route.class.is_retry_safe() {
             outcome != AttemptOutcome::Served
         } else {
             certainly_not_run && !request.may_have_run
--- a/crates/routing/src/router/pick.rs
+++ b/crates/routing/src/router/pick.rs
@@ -8,7 +8,7 @@
 use crate::table::Route;
 use crate::trial::{PendingAttempt, Trial};
 use crate::Time;
-use milletwing_config::Kind;
+use milletwing_config::ErrorKind;
 use milletwing_sequential_test::FINAL_STAGE;
 use rand::Rng;
 use std::rc::Rc;
@@ -16,22 +16,22 @@
 impl Router {
     /// Routes an incoming request. Errors: no configuration, no route, or no valid API key where
     /// one is needed.
-    pub fn route_request(&mut self, now: Time, head: RequestHead<'_>) -> Result<RoutedRequest, Kind> {
+    pub fn route_request(&mut self, now: Time, head: RequestHead<'_>) -> Result<RoutedRequest, ErrorKind> {
         if self.configuration.is_none() {
-            return Err(Kind::NotReady);
+            return Err(ErrorKind::NotConfigured);
         }
         // Without contact the refusal must not be final: a newer configuration may know the route
         // or key.
-        let unless_newer = |kind| if self.core_contact_lost(now) { Kind::OutOfTouch } else { kind };
-        let route = self.table.find(head.host, head.path).ok_or_else(|| unless_newer(Kind::NoRoute))?;
+        let unless_newer = |kind| if self.core_contact_lost(now) { ErrorKind::CoreUnreachable } else { kind };
+        let route = self.table.find(head.host, head.path).ok_or_else(|| unless_newer(ErrorKind::NoRoute))?;
         let route = Rc::clone(route);
         let tenant = if self.table.tenants.key_required() && !route.keyless {
             let found = head.api_key.and_then(|key| self.table.tenants.find(key));
-            Some(Rc::clone(found.ok_or_else(|| unless_newer(Kind::UnknownKey))?))
+            Some(Rc::clone(found.ok_or_else(|| unless_newer(ErrorKind::Unauthorized))?))
         } else {
             None
         };
-        let service = Rc::clone(route.service_for(self.rng.random()).ok_or(Kind::NoMarshal)?);
+        let service = Rc::clone(route.service_for(self.rng.random()).ok_or(ErrorKind::NoReachableMarshal)?);
         let mut for_trial_version = false;
         if let Some(service) = self.services.get_mut(&service) {
             service.budget.record_request(now);
@@ -75,13 +75,21 @@
 
     /// Selects a marshal and starts an attempt: the first, a retry or a hedge. Errors: the time or
     /// the attempts are used up, no marshal is available, or the retry budget is exhausted.
-    pub fn start_attempt(&mut self, now: Time, request: &mut RoutedRequest) -> Result<Attempt, Kind> {
+    pub fn start_attempt(&mut self, now: Time, request: &mut RoutedRequest) -> Result<Attempt, ErrorKind> {
         if now >= request.deadline {
-            return Err(if request.may_have_run { Kind::Silent } else { Kind::Expired });
+            return Err(if request.may_have_run {
+                ErrorKind::ResponseTimeout
+            } else {
+                ErrorKind::DeadlineExceeded
+            });
         }
         // The limit is enforced here for every attempt, whatever the caller decided earlier.
         if request.attempts >= self.max_attempts(&request.route) {
-            return Err(if request.may_have_run { Kind::Broken } else { Kind::TurnedAway });
+            return Err(if request.may_have_run {
+                ErrorKind::MarshalDisconnected
+            } else {
+                ErrorKind::RejectedByMarshal
+            });
         }
         let key = self.select_cheapest(now, request)?;
         if request.attempts > 0 {
@@ -92,10 +100,12 @@
 
     /// The cheapest of two random marshals of each proximity; of all marshals if none of those is
     /// available.
-    fn select_cheapest(&mut self, now: Time, request: &RoutedRequest) -> Result<u64, Kind> {
+    fn select_cheapest(&mut self, now: Time, request: &RoutedRequest) -> Result<u64, ErrorKind> {
         let contact_lost = self.core_contact_lost(now);
-        let Some(service) = self.services.get(&request.service) else { return Err(Kind::NoMarshal) };
-        let repeatable = request.route.class.repeatable();
+        let Some(service) = self.services.get(&request.service) else {
+            return Err(ErrorKind::NoReachableMarshal);
+        };
+        let repeatable = request.route.class.is_retry_safe();
         let kilobytes = self.response_kilobytes.get(&request.route.name).copied().unwrap_or(4.0);
         let target_latency = request.route.target_latency as f64;
         // Under load, capacity is reserved for requests that rank first. The limit never falls
@@ -191,26 +201,39 @@
             // The earlier version serves what the new one cannot.
             service.by_proximity.iter().flatten().for_each(|key| consider(*key, None, &mut best, &mut full));
         }
-        let refusal = if full { Kind::Full } else { Kind::NoMarshal };
-        best.map(|(_, key)| key).ok_or(if request.may_have_run { Kind::Broken } else { refusal })
+        let refusal = if full { ErrorKind::AtCapacity } else { ErrorKind::NoReachableMarshal };
+        best.map(|(_, key)| key).ok_or(if request.may_have_run {
+            ErrorKind::MarshalDisconnected
+        } else {
+            refusal
+        })
     }
 
     /// Takes one retry from this edge's part of the retry budget.
-    fn spend_retry(&mut self, now: Time, request: &RoutedRequest) -> Result<(), Kind> {
+    fn spend_retry(&mut self, now: Time, request: &RoutedRequest) -> Result<(), ErrorKind> {
         let ratio = self.guarantees.retryBudgetRatio * RETRY_BUDGET_FRACTION;
         let slack = self.guarantees.retrySlack * RETRY_BUDGET_FRACTION / (self.edge_count + 2.0);
-        let Some(service) = self.services.get_mut(&request.service) else { return Err(Kind::NoMarshal) };
+        let Some(service) = self.services.get_mut(&request.service) else {
+            return Err(ErrorKind::NoReachableMarshal);
+        };
         if service.budget.try_take(now, ratio, slack) {
             return Ok(());
         }
-        Err(if request.may_have_run { Kind::Broken } else { Kind::TurnedAway })
+        Err(if request.may_have_run { ErrorKind::MarshalDisconnected } else { ErrorKind::RejectedByMarshal })
     }
 
     /// Records the start of an attempt on this marshal.
-    fn record_start(&mut self, now: Time, request: &mut RoutedRequest, key: u64) -> Result<Attempt, Kind> {
-        let Some(service) = self.services.get_mut(&request.service) else { return Err(Kind::NoMarshal) };
+    fn record_start(
+        &mut self,
+        now: Time,
+        request: &mut RoutedRequest,
+        key: u64,
+    ) -> Result<Attempt, ErrorKind> {
+        let Some(service) = self.services.get_mut(&request.service) else {
+            return Err(ErrorKind::NoReachableMarshal);
+        };
         let limit = max_connections(service.max_sessions, self.edge_count);
-        let Some(marshal) = self.marshals.get_mut(&key) else { return Err(Kind::NoMarshal) };
+        let Some(marshal) = self.marshals.get_mut(&key) else { return Err(ErrorKind::NoReachableMarshal) };
         marshal.attempt_started(now);
         self.attempt_count += 1;
         let number = self.attempt_count;
@@ -239,7 +262,7 @@
     /// Milliseconds after which a repeatable request is hedged, which means sent to a second
     /// marshal as well; `None` if it may not be.
     pub fn hedge_delay(&self, request: &RoutedRequest, attempt: &Attempt) -> Option<Time> {
-        if !request.route.class.repeatable() || request.attempts >= self.max_attempts(&request.route) {
+        if !request.route.class.is_retry_safe() || request.attempts >= self.max_attempts(&request.route) {
             return None;
         }
         let marshal_mean =
--- a/crates/routing/src/router/tables.rs
+++ b/crates/routing/src/router/tables.rs
@@ -8,15 +8,15 @@
 use crate::table::RouteTable;
 use crate::trial::Trial;
 use crate::Time;
-use milletwing_drift_detection::Sink;
-use milletwing_replicated_state::{State, View};
+use milletwing_drift_detection::LeafSink;
+use milletwing_replicated_state::{RollOutState, View};
 use milletwing_sequential_test::BURN_IN;
 use std::rc::Rc;
 use std::sync::Arc;
 
 impl Router {
     /// Exports the routing state in use.
-    pub fn export_state(&self, sink: &mut impl Sink) {
+    pub fn export_state(&self, sink: &mut impl LeafSink) {
         self.table.export_state(sink);
         // Uses the marshal lists of each service, which are what requests are routed by.
         for (name, service) in &self.services {
@@ -80,7 +80,7 @@
             }
             self.key_by_host.insert(marshal.observation.host, key);
             marshal.set_phase(&node.phase, self.location.id);
-            (marshal.eligible, marshal.on_trial) = view.standing(node);
+            (marshal.eligible, marshal.on_trial) = view.eligibility(node);
             marshal.retest = view.suspected.get(id).is_some_and(|edges| edges.contains(&self.location.id));
             let max_sessions = self
                 .configuration
@@ -108,7 +108,8 @@
     /// Brings the trials of all services up to date.
     fn update_trials(&mut self, now: Time, view: &View) {
         for (name, service) in &mut self.services {
-            let rollout = view.rollouts.get(name.as_ref()).filter(|rollout| rollout.state == State::Active);
+            let rollout =
+                view.rollouts.get(name.as_ref()).filter(|rollout| rollout.state == RollOutState::Active);
             let Some(rollout) = rollout else {
                 service.trial = None;
                 continue;
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -3,9 +3,9 @@
 use crate::tenants::{Salt, Tenants};
 use ahash::RandomState;
 use hashbrown::HashMap;
-use milletwing_config::configuration::{host, Class};
+use milletwing_config::configuration::{normalize_host, TrafficClass};
 use milletwing_config::Configuration;
-use milletwing_drift_detection::{Part, Sink};
+use milletwing_drift_detection::{LeafSink, Part};
 use std::rc::Rc;
 
 /// A route, prepared for lookups.
@@ -16,7 +16,7 @@
     /// Path prefix that a request must have.
     pub prefix: String,
     /// Traffic class, which decides for example whether requests are repeatable.
-    pub class: Class,
+    pub class: TrafficClass,
     /// Milliseconds for which a request may be held.
     pub time_limit: u64,
     /// Target latency in milliseconds: a response within it has its full value.
@@ -35,7 +35,7 @@
 
 impl Route {
     /// Exports the content of the route, with the host that it is found by.
-    fn export_state(&self, host: &str, sink: &mut impl Sink) {
+    fn export_state(&self, host: &str, sink: &mut impl LeafSink) {
         let class = [crate::trial::class_index(self.class) as u8, u8::from(self.keyless)];
         let numbers = [
             self.time_limit,
@@ -99,7 +99,7 @@
                 serving_regions: route.serving_regions.clone(),
                 keyless: route.keyless,
             };
-            table.routes_by_host.entry(host(&route.domain)).or_default().push(Rc::new(entry));
+            table.routes_by_host.entry(normalize_host(&route.domain)).or_default().push(Rc::new(entry));
         }
         for routes in table.routes_by_host.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
@@ -108,7 +108,7 @@
     }
 
     /// Exports all routes and tenants.
-    pub fn export_state(&self, sink: &mut impl Sink) {
+    pub fn export_state(&self, sink: &mut impl LeafSink) {
         self.tenants.export_state(sink);
         for (host, routes) in &self.routes_by_host {
             for route in routes {
@@ -121,7 +121,7 @@
     pub fn find(&self, host_header: &str, path: &str) -> Option<&Rc<Route>> {
         let routes = match self.routes_by_host.get(host_header) {
             Some(routes) => routes,
-            None => self.routes_by_host.get(&host(host_header))?,
+            None => self.routes_by_host.get(&normalize_host(host_header))?,
         };
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
--- a/crates/routing/src/tenants.rs
+++ b/crates/routing/src/tenants.rs
@@ -4,7 +4,7 @@
 use hashbrown::HashMap;
 use milletwing_config::configuration::Subscriber;
 use milletwing_config::Configuration;
-use milletwing_drift_detection::{Part, Sink};
+use milletwing_drift_detection::{LeafSink, Part};
 use sha2::{Digest, Sha256};
 use std::rc::Rc;
 
@@ -68,7 +68,7 @@
     }
 
     /// Exports the content of each tenant, without its keys.
-    pub fn export_state(&self, sink: &mut impl Sink) {
+    pub fn export_state(&self, sink: &mut impl LeafSink) {
         for tenant in &self.all {
             let rank = tenant.priority_rank.map_or([0xff; 4], u32::to_be_bytes);
             let mut fields: Vec<&[u8]> = vec![&rank, &tenant.keys_digest];
--- a/crates/routing/src/trial.rs
+++ b/crates/routing/src/trial.rs
@@ -6,7 +6,7 @@
 use crate::canary::Canaries;
 use crate::Time;
 use hashbrown::HashMap;
-use milletwing_config::configuration::Class;
+use milletwing_config::configuration::TrafficClass;
 use milletwing_replicated_state::RollOut;
 use milletwing_sequential_test::{
     earliest_advance, min_stage_duration, stage_cap, ExposureBudget, HoldPolicy, StageTest, Sums,
@@ -24,11 +24,11 @@
 const MAX_RECENT_SCORES: usize = 1024;
 
 /// Index of a traffic class in the evidence arrays.
-pub fn class_index(class: Class) -> usize {
+pub fn class_index(class: TrafficClass) -> usize {
     match class {
-        Class::Idempotent => 0,
-        Class::NonIdempotent => 1,
-        Class::Downlink => 2,
+        TrafficClass::Idempotent => 0,
+        TrafficClass::NonIdempotent => 1,
+        TrafficClass::Downlink => 2,
     }
 }
 
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub struct PendingAttempt {
     /// Traffic class of its request.
-    pub class: Class,
+    pub class: TrafficClass,
     /// It went to the version on trial.
     pub on_trial: bool,
     /// Covariate, fixed before the send.
@@ -119,7 +119,7 @@
     }
 
     /// Counts a request of the service.
-    pub fn record_request(&mut self, now: Time, class: Class) {
+    pub fn record_request(&mut self, now: Time, class: TrafficClass) {
         self.recent_exposure.record_request(now);
         self.total_exposure.record_request();
         self.request_counts[class_index(class)] += 1.0;
@@ -131,7 +131,7 @@
     pub fn draw_trial_version(
         &mut self,
         now: Time,
-        class: Class,
+        class: TrafficClass,
         draw: f64,
         share: f64,
         slack: f64,
@@ -146,7 +146,7 @@
         }
         // Without recent contact no more requests are exposed, since the control plane may have
         // rolled the version back meanwhile.
-        if !in_contact || (self.stage == 0 && !class.repeatable()) {
+        if !in_contact || (self.stage == 0 && !class.is_retry_safe()) {
             return false;
         }
         let cap = stage_cap(self.stage, share);
@@ -156,7 +156,7 @@
     }
 
     /// The earlier version's mean score in a class over the last second.
-    pub fn covariate(&mut self, now: Time, class: Class) -> f64 {
+    pub fn covariate(&mut self, now: Time, class: TrafficClass) -> f64 {
         let scores = &mut self.recent_scores[class_index(class)];
         while scores.front().is_some_and(|(at, _)| at + COVARIATE_WINDOW < now) {
             scores.pop_front();
@@ -213,7 +213,7 @@
     fn record_outcome(
         &mut self,
         now: Time,
-        class: Class,
+        class: TrafficClass,
         on_trial: bool,
         failed: bool,
         covariate: f64,
--- a/crates/routing/tests/canaries.rs
+++ b/crates/routing/tests/canaries.rs
@@ -101,7 +101,7 @@
         let configuration = String::from_utf8(body(2))
             .unwrap()
             .replace(r#""targetS":0.3"#, &format!(r#""targetS":{target}"#));
-        let command = view.to_configure(2, configuration.as_bytes()).unwrap();
+        let command = view.configure_command(2, configuration.as_bytes()).unwrap();
         view.apply(201, &command);
         let mut regions_used = BTreeSet::new();
         for id in 0..9 {
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -4,7 +4,7 @@
 
 use common::{arrive, edge, node, view};
 use milletwing_config::settings::Guarantees;
-use milletwing_config::Kind;
+use milletwing_config::ErrorKind;
 use milletwing_outlier_detection::host_key;
 use milletwing_replicated_state::{Command, Node, Phase};
 use milletwing_routing::marshal::Load;
@@ -34,7 +34,7 @@
             router
                 .route_request(1, RequestHead { host, path, remaining_ms: None, api_key: None })
                 .unwrap_err(),
-            Kind::NoRoute,
+            ErrorKind::NoRoute,
             "{host}{path}"
         );
     }
@@ -50,7 +50,7 @@
                 RequestHead { host: "h.example", path: "/other/", remaining_ms: None, api_key: None }
             )
             .unwrap_err(),
-        Kind::NotReady,
+        ErrorKind::NotConfigured,
         "404 requires a configuration"
     );
 }
@@ -79,7 +79,9 @@
         let (mut now, mut request) = (2, arrive(&mut router, 2, path));
         let (mut may_have_run, mut arrivals, mut seen) = (0, 0, BTreeSet::new());
         while let Ok(attempt) = router.start_attempt(now, &mut request) {
-            assert!(seen.insert(attempt.id.clone()) || request.route.class.repeatable() || may_have_run == 0);
+            assert!(
+                seen.insert(attempt.id.clone()) || request.route.class.is_retry_safe() || may_have_run == 0
+            );
             let at: usize = attempt.id.rsplit('-').next().unwrap().parse().unwrap();
             assert!(path != "/order/x" || at % 4 < 2, "{} is outside the route's regions", attempt.id);
             let outcome = outcomes[rng.random_range(0..outcomes.len())];
@@ -117,8 +119,8 @@
                 Ok(_) => true,
                 Err(kind) => {
                     assert_eq!(
-                        (kind.clone(), kind.answer().status, kind.answer().promise),
-                        (Kind::Full, 503, true)
+                        (kind.clone(), kind.response().status, kind.response().not_executed),
+                        (ErrorKind::AtCapacity, 503, true)
                     );
                     false
                 }
@@ -255,7 +257,7 @@
                 checks.push(now);
                 first = false;
             }
-            Err(kind) => assert_eq!(kind, Kind::NoMarshal),
+            Err(kind) => assert_eq!(kind, ErrorKind::NoReachableMarshal),
         }
     }
     let pauses: Vec<Time> = checks.windows(2).map(|pair| pair[1] - pair[0]).collect();
@@ -491,7 +493,7 @@
             targets.join(",")
         );
         let mut view = view(4);
-        let command = view.to_configure(2, body.as_bytes()).unwrap();
+        let command = view.configure_command(2, body.as_bytes()).unwrap();
         view.apply(view.index + 1, &command);
         let mut router = edge(1, &view, 1, 1);
         let mut counts = std::collections::BTreeMap::<String, usize>::new();
--- a/crates/routing/tests/outage.rs
+++ b/crates/routing/tests/outage.rs
@@ -5,7 +5,7 @@
 
 use common::{arrive, edge, node, view};
 use milletwing_config::settings::Guarantees;
-use milletwing_config::Kind;
+use milletwing_config::ErrorKind;
 use milletwing_replicated_state::{Command, Phase, View};
 use milletwing_routing::{AttemptOutcome, RequestHead, Router, Time};
 
@@ -120,11 +120,14 @@
             )
             .unwrap_err()
     };
-    assert_eq!(route_unknown_path(&mut router, 3_000), Kind::NoRoute);
+    assert_eq!(route_unknown_path(&mut router, 3_000), ErrorKind::NoRoute);
     let kind = route_unknown_path(&mut router, 9_000);
-    assert_eq!((kind.clone(), kind.answer().status, kind.answer().promise), (Kind::OutOfTouch, 503, true));
+    assert_eq!(
+        (kind.clone(), kind.response().status, kind.response().not_executed),
+        (ErrorKind::CoreUnreachable, 503, true)
+    );
     router.core_heard(9_000);
-    assert_eq!(route_unknown_path(&mut router, 9_100), Kind::NoRoute);
+    assert_eq!(route_unknown_path(&mut router, 9_100), ErrorKind::NoRoute);
 }
 
 /// An unknown key may belong to a newer configuration.
@@ -137,20 +140,20 @@
         "\"subscribers\":{\"t\":{\"credentials\":[\"known\"]}},\"thresholds\"",
         1,
     );
-    let command = view.to_configure(2, text.as_bytes()).unwrap();
+    let command = view.configure_command(2, text.as_bytes()).unwrap();
     view.apply(9, &command);
     let mut router = edge(0, &view, 9, 1);
     let route_with_key = |router: &mut Router, now, key| {
         let head = RequestHead { host: "h.example", path: "/look/", remaining_ms: None, api_key: Some(key) };
         router.route_request(now, head).map(|request| request.tenant.map(|tenant| tenant.name.to_string()))
     };
-    assert_eq!(route_with_key(&mut router, 3_000, "newer").unwrap_err(), Kind::UnknownKey);
-    assert_eq!(route_with_key(&mut router, 9_000, "newer").unwrap_err(), Kind::OutOfTouch);
+    assert_eq!(route_with_key(&mut router, 3_000, "newer").unwrap_err(), ErrorKind::Unauthorized);
+    assert_eq!(route_with_key(&mut router, 9_000, "newer").unwrap_err(), ErrorKind::CoreUnreachable);
     assert_eq!(
         route_with_key(&mut router, 9_000, "known").unwrap(),
         Some("t".into()),
         "known keys stay valid"
     );
     router.core_heard(9_000);
-    assert_eq!(route_with_key(&mut router, 9_100, "newer").unwrap_err(), Kind::UnknownKey);
+    assert_eq!(route_with_key(&mut router, 9_100, "newer").unwrap_err(), ErrorKind::Unauthorized);
 }
