--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -11,8 +11,9 @@
 
 /// Longest request line that is read, in bytes.
 const MAX_REQUEST_BYTES: u64 = 4 << 10;
-/// Time limit for each step of a call: to connect, read or write, to hand the call over to the
-/// instance, and to wait for its result.
+/// Time limit for the caller to connect, and for each step of the instance: to read the request, to
+/// hand it over, to wait for its result, and to write the response. The caller waits three times as
+/// long for the response.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A received call, and the channel on which its result is returned to the connection.
@@ -27,8 +28,8 @@
 /// Serves calls on `address` in a thread of its own, one connection at a time, and passes them on to
 /// `calls`. Returns the bound address, with the assigned port if `address` has port 0.
 ///
-/// The error `unavailable` is the response to a call that the receiver of `calls` does not accept
-/// or does not answer in time, or after that receiver is gone.
+/// A call gets the error `unavailable` if the receiver of `calls` does not take it in time, does not
+/// answer it in time, or is gone.
 pub fn listen<C: DeserializeOwned + Send + 'static>(
     address: SocketAddr,
     calls: Sender<PendingCall<C>>,
--- a/crates/system/tests/cluster/mod.rs
+++ b/crates/system/tests/cluster/mod.rs
@@ -18,8 +18,10 @@
 /// Number of clusters created in this process; each takes a network of its own.
 pub static CLUSTERS: AtomicU32 = AtomicU32::new(0);
 
+/// A process of the system; killed when it is dropped.
 pub struct Process {
     pub child: Child,
+    /// The lines of its log that have not been read yet.
     pub lines: Receiver<String>,
 }
 
@@ -35,6 +37,7 @@
         }
     }
 
+    /// Sends a signal by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill").args(["-s", name, &self.child.id().to_string()]).status();
         assert!(status.unwrap().success());
@@ -84,6 +87,7 @@
         Cluster { network, directory }
     }
 
+    /// The IP address of a host, which is numbered from the network's first address.
     pub fn ip(&self, host: u32) -> Ipv4Addr {
         Ipv4Addr::from_bits(self.network + host)
     }
@@ -98,6 +102,7 @@
         self.start_with_seeds(role, host, initial_attach, &[1, 2, 3])
     }
 
+    /// Like [`Cluster::start`], with `seeds` as the hosts of the core in the settings.
     pub fn start_with_seeds(&self, role: &str, host: u32, initial_attach: bool, seeds: &[u32]) -> Process {
         let seeds: Vec<String> =
             seeds.iter().map(|host| format!("\"{}\"", self.address(*host, 8544))).collect();
--- a/crates/system/tests/races.rs
+++ b/crates/system/tests/races.rs
@@ -22,7 +22,8 @@
 /// Time without a response after which a client goes on to another machine, as the protocol demands.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A configuration whose second number tells it apart from others of the same revision.
+/// A configuration that holds both numbers of its version: the revision, and a time limit in seconds
+/// that tells it apart from others of the same revision.
 fn configuration_json(version: Version) -> String {
     let (revision, idle_guard_s) = version;
     format!(
@@ -49,7 +50,7 @@
     }
 }
 
-/// Sends a change to the machines in round until its outcome is known.
+/// Sends a change to the machines in turn until its outcome is known.
 fn put_until_known(cluster: &Cluster, start: u64, version: Version, expected: u64) -> Outcome {
     let hosts = CORE.iter().cycle().skip(start as usize % CORE.len()).take(MAX_ATTEMPTS);
     let mut outcomes = hosts.map(|host| put(cluster, *host, version, expected));
