--- a/crates/decision/src/policy/requests.rs
+++ b/crates/decision/src/policy/requests.rs
@@ -41,7 +41,7 @@
         if repeatable && request.tries == 0 && split.0 < class.latency_target.0 * 0.75 {
             until = until.min(self.now + split);
         }
-        let (covariate, unscored) = (self.covariate(request.class), Ms(UNSCORED as f64).max(self.set.warmup));
+        let (covariate, unscored) = (self.covariate(request.class), Ms(BURN_IN as f64).max(self.set.warmup));
         let entry = &self.nodes[&node].entry;
         let build = entry.build;
         let attempt = Attempt {
