--- a/crates/decision/src/interface.rs
+++ b/crates/decision/src/interface.rs
@@ -99,7 +99,7 @@
     /// An answer within this time earns the full value.
     pub latency_target: Ms,
     /// The latency target grows by this multiple of the work that the request itself needs.
-    pub latency_target_per_work: f64,
+    pub target_per_work: f64,
     /// Total time after which the client gives up.
     pub client_timeout: Ms,
     /// Whether a request may run again.
@@ -164,7 +164,7 @@
     /// How long to wait for the answer to a vote.
     pub vote_answer_timeout: Ms,
     /// Votes per second that the platform accepts from all marshals together.
-    pub platform_calls_per_s: f64,
+    pub votes_per_s: f64,
     /// Minimum duration of a stage.
     pub min_stage_duration: Ms,
     /// Duration of a stage under `StageControl::Timed`.
@@ -342,7 +342,8 @@
     pub cpu_utilization: Option<f64>,
 }
 
-/// Evidence about one stage of a build, from one instance or pooled from several: sums, so that it can be added.
+/// Evidence on one stage of a build, of one instance or pooled from several. It consists of sums and counts,
+/// so that it can be added.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Evidence {
     /// The build.
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,6 +1,7 @@
 //! The decisions of a milletwing marshal: which server gets a request, and how to vote on a build.
 //!
-//! `interface` holds the types that go in and out, `policy` every decision. Sans-IO: the host brings the clock.
+//! `interface` holds the input and output types, `policy` all decision logic. The crate is sans-IO: the host
+//! supplies the clock and carries out the actions.
 
 pub mod interface;
 pub mod policy;
--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -1,6 +1,6 @@
-//! Every decision of a marshal, by concern: `requests` sends, `cap` and `pick` choose, `cold` bounds,
-//! `evidence` judges, `votes` casts; here events, ends of attempts, the list and what all share. What goes
-//! in and out stands in `interface.rs`. Values marked "page" come from the design page.
+//! All decisions of a marshal, by topic: `requests` sends, `cap` and `pick` choose a node, `cold` protects
+//! cold nodes, `evidence` judges builds, `votes` casts votes. This file holds event dispatch, the ends of
+//! attempts, the node list and shared constants. Inputs and outputs are defined in `interface.rs`.
 
 mod cap;
 mod cold;
@@ -10,206 +10,204 @@
 mod votes;
 
 use crate::interface::*;
-use crate::state::{Attempt, Calls, Cast, Ended, Flow, Heard, Node, Request, Step, Together, Trial};
-use crate::statistics::{Dice, Excess, Periods, Times};
+use crate::state::*;
+use crate::statistics::{FailureExcess, PeriodCounts, SeededRng, Sums};
 pub use milletwing_sequential_test::adjusted_test;
-use milletwing_sequential_test::{
-    Sums, ALPHA, BURN_IN, COVARIATE_WINDOW, FILL, HOLD_P, LOOKS, MIN_EFFECT, MIN_N,
-};
+use milletwing_sequential_test::{ALPHA, BURN_IN, COVARIATE_WINDOW, FILL, HOLD_P, LOOKS, MIN_EFFECT, MIN_N};
 use statrs::distribution::{Binomial, DiscreteCDF};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// An attempt slower than this many means of the earlier build scores as a time-out.
-const SLOW_MEANS: f64 = 8.0;
-/// Least weight of a new value in a running mean.
-const FRESH: f64 = 0.1;
-/// Attempts in a row without an answer that set a node aside, its first pause, and the bar of what is load.
-const SILENT: u32 = 3;
-const PAUSE: Ms = Ms(1000.0);
+/// An attempt that takes longer than this many mean latencies of the earlier build scores as a time-out.
+const SLOW_FACTOR: f64 = 8.0;
+/// Minimum weight of a new value in a running mean.
+const MIN_WEIGHT: f64 = 0.1;
+/// Unanswered attempts in a row that eject a node, the first ejection time, the share that means overload.
+const MAX_UNANSWERED: u32 = 3;
+const FIRST_BACKOFF: Ms = Ms(1000.0);
 const WIDESPREAD: f64 = 0.2;
-/// Further attempts earned by each request: bounds what retries add under overload.
+/// Retry tokens that each request earns: limits the load of retries under overload.
 const RETRY_SHARE: f64 = 0.1;
-const RETRY_CALM: f64 = 0.2; // what one costs after a break, while fewer answers than that come late
-const RETRY_MOST: f64 = 10.0;
-const RATE_SPAN: Ms = Ms(2000.0); // of our own rate
-const BEAT: Ms = Ms(100.0); // of votes and discovery
+const RESET_RETRY_COST: f64 = 0.2; // after a broken connection, while fewer answers than that are late
+const MAX_RETRY_TOKENS: f64 = 10.0;
+const RATE_WINDOW: Ms = Ms(2000.0); // for this marshal's own request rate
+const PERIOD: Ms = Ms(100.0); // of the timer that drives votes and discovery
 
-/// One marshal.
+/// The decision logic of one marshal.
 #[derive(Debug, Default)]
 pub struct Marshal {
-    set: Settings,
-    dice: Dice,
+    settings: Settings,
+    rng: SeededRng,
     now: Ms,
-    /// Whether this batch ends a time in which we stood still.
-    stood: bool,
+    /// Whether this batch of events follows a pause in which the marshal's process did not run.
+    stalled: bool,
     nodes: BTreeMap<NodeId, Node>,
-    /// What picks need of the list, by `survey`.
-    sides: [[Vec<NodeId>; 3]; 2],
+    /// Nodes in service by build [earlier, new] and set [own zone, all, connected]; their warm capacity in
+    /// machines [newest build, all]; whether requests are rare compared to nodes.
+    candidates: [[Vec<NodeId>; 3]; 2],
     warm: [f64; 2],
-    seldom: bool,
+    sparse: bool,
     requests: BTreeMap<RequestId, Request>,
     attempts: BTreeMap<(RequestId, u32), Attempt>,
-    flow: Flow,
-    /// One-sided level of a vote back over all looks, outcomes of a look, bar of slowness, least surplus.
-    bars: (f64, f64, f64, f64),
-    heard: Heard,
-    moved: BTreeSet<Key>,
-    news: Option<StageReport>,
-    condemned: BTreeSet<Build>,
+    traffic: Traffic,
+    limits: EvidenceLimits,
+    stats: AnswerStats,
+    keys_on_newest: BTreeSet<Key>,
+    report: Option<StageReport>,
+    to_revert: BTreeSet<Build>,
     trial: Trial,
-    /// Plain failures of the build before the newest, and of the newest since its release.
-    after: Vec<[Sums; 2]>,
-    /// The same as the platform counted over all marshals, since the newest was offered.
-    told: Periods,
-    step: Step,
+    /// Unadjusted failures of the build before the newest, and of the newest in its present stage.
+    failure_sums: Vec<[Sums; 2]>,
+    /// The same as the platform counted them over all marshals, since the newest build was offered.
+    platform_counts: PeriodCounts,
+    dose_response: DoseResponse,
     calls: Calls,
-    group: Together,
-    /// What may carry traffic, and until when what is on its way may.
+    group: GroupState,
+    /// The permit table, and the time until which its `in_rollout` entries are valid.
     permits: Option<(Arc<PermitTable>, Ms)>,
 }
 
 impl Marshal {
-    /// New.
-    pub fn new(set: Settings, seed: u64) -> Marshal {
-        let classes = set.classes.len();
+    /// A marshal with the given settings and random seed.
+    pub fn new(settings: Settings, seed: u64) -> Marshal {
+        let classes = settings.classes.len();
         let sums: Vec<[Sums; 2]> = vec![Default::default(); classes];
-        // Where many must vote a build back, as many as needed may err together no more often than one alone
-        // would; halved for what they share. By the logarithm of that level fewer and milder signs are
-        // enough for each, but of a larger surplus: a small one may well be a trouble that all share.
-        let (all, back) = (u64::from(set.marshals.max(1)), u64::from(set.revert_votes.max(1)));
-        let (all, back) = if set.group_decisions { (1, 1) } else { (all, back) }; // one verdict of all errs as one
-        let err = |level: f64| Binomial::new(level, all).map_or(1.0, |law| law.sf(back - 1));
-        let level = (1..50).map(|i| f64::from(i) * 0.01).take_while(|&level| err(level) <= ALPHA).last();
-        let level_back = ALPHA.max(level.unwrap_or(0.0) * 0.5);
-        let strict = level_back.ln() / ALPHA.ln();
-        let turn = Ms(1000.0 * f64::from(set.marshals) / set.platform_calls_per_s.max(0.1));
+        // Where reverting needs a quorum, each vote has a higher significance level, at which the quorum errs
+        // no more often than one marshal at `ALPHA`; halved, as marshals share causes of error. By its
+        // logarithm fewer and milder signs suffice, but a larger surplus: a small one may be shared by all.
+        let (all, quorum) = (u64::from(settings.marshals.max(1)), u64::from(settings.revert_votes.max(1)));
+        let (all, quorum) = if settings.group_decisions { (1, 1) } else { (all, quorum) }; // one judgement
+        let quorum_error = |level: f64| Binomial::new(level, all).map_or(1.0, |law| law.sf(quorum - 1));
+        let level = (1..50).map(|i| f64::from(i) * 0.01).take_while(|&p| quorum_error(p) <= ALPHA).last();
+        let alpha = ALPHA.max(level.unwrap_or(0.0) * 0.5);
+        let strictness = alpha.ln() / ALPHA.ln();
+        let (min_n, slow_factor) = ((MIN_N * strictness).ceil(), SLOW_FACTOR * strictness);
+        let min_effect = MIN_EFFECT / strictness.powi(2);
+        let interval = Ms(1000.0 * f64::from(settings.marshals) / settings.votes_per_s.max(0.1));
         Marshal {
-            bars: (level_back, (MIN_N * strict).ceil(), SLOW_MEANS * strict, MIN_EFFECT / strict.powi(2)),
-            dice: Dice::new(seed),
-            flow: Flow::new(classes, RETRY_MOST),
-            heard: Heard { earlier: vec![VecDeque::new(); classes], ..Heard::default() },
-            after: sums.clone(),
-            told: Periods::new(classes),
+            limits: EvidenceLimits { alpha, min_n, slow_factor, min_effect },
+            rng: SeededRng::new(seed),
+            traffic: Traffic::new(classes, MAX_RETRY_TOKENS),
+            stats: AnswerStats { earlier_scores: vec![VecDeque::new(); classes], ..AnswerStats::default() },
+            failure_sums: sums.clone(),
+            platform_counts: PeriodCounts::new(classes),
             trial: Trial { sums, ..Trial::default() },
-            step: Step { level: 1.0, ..Step::default() },
-            calls: Calls { ask_pause: PAUSE, turn, ..Calls::default() },
-            set,
+            dose_response: DoseResponse { latency_ratio: 1.0, ..DoseResponse::default() },
+            calls: Calls { backoff: FIRST_BACKOFF, interval, ..Calls::default() },
+            settings,
             ..Marshal::default()
         }
     }
 
-    /// Takes one event and appends what to do about it.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Ms, event: Event, out: &mut Vec<Action>) {
-        self.stood = if now > self.now { now - self.now > BEAT * 3.0 } else { self.stood };
+        self.stalled = if now > self.now { now - self.now > PERIOD * 3.0 } else { self.stalled };
         self.now = now;
         match event {
             Event::Start | Event::Timer(_) => {
-                out.push(Action::SetTimer("beat".into(), now + BEAT));
-                // While no build is on trial nobody else counts them: a long day must not pile them up.
-                self.flow.taken.iter_mut().fold(0, |n, lane| n + lane.trim(now - self.set.exposure_window));
-                self.ask(out);
-                self.judge(out);
-                self.survey();
-                self.vote(out);
-                self.share(out);
+                out.push(Action::SetTimer("beat".into(), now + PERIOD));
+                // While no build is on trial nothing else trims these, and they would grow without bound.
+                self.traffic.trim_requests(now - self.settings.exposure_window);
+                self.subscribe(out);
+                self.evaluate(out);
+                self.refresh_candidates();
+                self.cast_vote(out);
+                self.share_evidence(out);
             }
-            Event::FleetUpdate(form, entries) => self.fleet(form, entries),
-            Event::StageReport(news) => self.stage(news, out),
+            Event::FleetUpdate(kind, entries) => self.update_fleet(kind, entries),
+            Event::StageReport(report) => self.handle_report(report, out),
             Event::Request { id, class, key, tenant, expires_in, work_hint, .. } => {
-                self.flow.counts[class.0] += 1.0;
-                self.flow.taken[class.0].push(now);
-                self.flow.recent.push(now);
-                self.flow.retry_tokens = (self.flow.retry_tokens + RETRY_SHARE).min(RETRY_MOST);
-                let c = &self.set.classes[class.0];
-                let aim = now + c.latency_target + work_hint.unwrap_or_default() * c.latency_target_per_work;
-                self.send(id, Request::new(class, key, tenant, aim, now + expires_in), out);
+                self.traffic.add_request(class, now);
+                self.traffic.retry_tokens = (self.traffic.retry_tokens + RETRY_SHARE).min(MAX_RETRY_TOKENS);
+                let c = &self.settings.classes[class.0];
+                let target = now + c.latency_target + work_hint.unwrap_or_default() * c.target_per_work;
+                self.send(id, Request::new(class, key, tenant, target, now + expires_in), out);
             }
             Event::ClientGone(id) => {
-                // What it waited for would only hold up the others; its attempt is always the last one sent.
-                let gone = self.requests.remove(&id).filter(|_| self.set.may_cancel);
-                out.extend(gone.map(|request| Action::Cancel(id, request.tries - 1)));
+                // The abandoned attempt, always the last one sent, would only delay other requests.
+                let gone = self.requests.remove(&id).filter(|_| self.settings.may_cancel);
+                out.extend(gone.map(|request| Action::Cancel(id, request.attempts - 1)));
             }
             Event::Completed { id, attempt, node, outcome, latency, is_final, .. } => {
                 self.completed(id, attempt, (node, outcome, latency), is_final, out);
             }
-            Event::WrongAnswer { node, class, .. } => self.complaint(&node, class),
-            Event::GroupMessage(news) => self.group(news, out),
-            // An older table never takes a newer one's place; the same one again lives on.
-            Event::PermitTable(table)
-                if self.permits.as_ref().is_some_and(|(p, _)| p.version > table.version) => {}
+            Event::WrongAnswer { node, class, .. } => self.record_wrong_answer(&node, class),
+            Event::GroupMessage(message) => self.handle_group_message(message, out),
+            // An older table never replaces a newer one; the same table again renews its validity.
+            Event::PermitTable(new) if self.permits.as_ref().is_some_and(|p| p.0.version > new.version) => {}
             Event::PermitTable(table) => self.permits = Some((table.clone(), now + table.ttl)),
             Event::Metrics { age, class, build, attempts, failed, .. } => {
                 let newest = usize::from(self.is_newest(build));
-                self.told.count(now - age, class.0, newest, (attempts, failed));
+                self.platform_counts.record(now - age, class.0, newest, (attempts, failed));
             }
             Event::StreamStarted(..) | Event::ProbeCompleted(..) | Event::PeerMessage(..) => {}
         }
     }
 
-    /// An attempt has ended: health, evidence, then the request's next step.
-    fn completed(&mut self, id: RequestId, copy: u32, end: Ended, settled: bool, out: &mut Vec<Action>) {
-        let (node, verdict, latency) = end;
-        // A client that left early tells of slowness only what a time-out there would.
-        let late = verdict == Outcome::Cancelled && latency.0 > self.bars.2 * self.heard.mean.value;
-        let verdict = if late { Outcome::Timeout } else { verdict };
-        let Some(attempt) = self.attempts.remove(&(id.clone(), copy)) else { return };
-        self.health(&node, attempt.crowd, verdict, latency);
+    /// Handles the end of an attempt: node health, evidence, then a retry or the request's answer.
+    fn completed(&mut self, id: RequestId, number: u32, end: Ended, is_final: bool, out: &mut Vec<Action>) {
+        let (node, outcome, latency) = end;
+        // A client that left early shows slowness only if it waited as long as a slow attempt takes.
+        let slow = latency.0 > self.limits.slow_factor * self.stats.mean_latency.value;
+        let outcome = if outcome == Outcome::Cancelled && slow { Outcome::Timeout } else { outcome };
+        let Some(attempt) = self.attempts.remove(&(id.clone(), number)) else { return };
+        self.update_health(&node, attempt.node_inflight, outcome, latency);
         let Some(mut request) = self.requests.remove(&id) else {
-            return self.score(&node, &attempt, verdict, latency);
+            return self.record_outcome(&node, &attempt, outcome, latency);
         };
-        let (build, erred) = (attempt.build, verdict == Outcome::Error);
-        let unrun = matches!(verdict, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent);
-        if !unrun && request.ran.is_none() {
-            request.ran = Some((attempt.home.0, attempt.home.1, attempt.sent)); // the list may have moved on
+        let (build, is_error) = (attempt.build, outcome == Outcome::Error);
+        let never_ran = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent);
+        if !never_ran && request.first_run.is_none() {
+            // Recorded now: the node may have left the list by the time this is used.
+            request.first_run = Some((attempt.location.0, attempt.location.1, attempt.sent));
         }
-        let doubted = request.erred.take();
-        let cured = if self.heard.cured.n > 0.0 { self.heard.cured.value } else { 1.0 };
-        let helps = !erred || self.is_newest(build) || self.dice.part() < cured.max(FRESH);
-        let again = !settled && helps && !(erred && doubted.is_some()) && self.may_retry(&request);
-        // An error may be the request's own: the next attempt tells, else the share cured of late. Two are no
-        // evidence and bring no third. Guards against worthless requests and errors of what all depend on.
-        if let Some((first, at)) = &doubted {
-            if erred || verdict == Outcome::Ok {
-                self.heard.cured.add(f64::from(u8::from(!erred)), FRESH * 3.0);
+        let previous_error = request.pending_error.take();
+        let success_rate = if self.stats.retry_gain.n > 0.0 { self.stats.retry_gain.value } else { 1.0 };
+        let helps = !is_error || self.is_newest(build) || self.rng.fraction() < success_rate.max(MIN_WEIGHT);
+        let retry = !is_final && helps && !(is_error && previous_error.is_some()) && self.may_retry(&request);
+        // An error may be the request's own: a retry shows it, else the success rate of retries. Two are no
+        // evidence and bring no third attempt. Guards against invalid requests and errors of shared services.
+        if let Some((first, first_node)) = &previous_error {
+            if is_error || outcome == Outcome::Ok {
+                self.stats.retry_gain.add(f64::from(u8::from(!is_error)), MIN_WEIGHT * 3.0);
             }
-            if verdict == Outcome::Ok {
-                self.score(at, first, Outcome::Error, latency);
+            if outcome == Outcome::Ok {
+                self.record_outcome(first_node, first, Outcome::Error, latency);
             }
         }
-        if erred && again {
-            request.erred = Some((attempt, node));
-        } else if !erred || (doubted.is_none() && self.dice.part() < cured) {
-            self.score(&node, &attempt, verdict, latency);
+        if is_error && retry {
+            request.pending_error = Some((attempt, node));
+        } else if !is_error || (previous_error.is_none() && self.rng.fraction() < success_rate) {
+            self.record_outcome(&node, &attempt, outcome, latency);
         }
-        if settled {
-            self.flow.met.push(self.now);
-            let mixed = self.set.sticky_keys && self.warm[0] < self.warm[1]; // else no earlier build is left
-            let moves = mixed && verdict == Outcome::Ok && self.is_newest(build);
-            self.moved.extend(request.key.filter(|_| moves));
-        } else if again {
-            let broken = verdict == Outcome::Reset && self.step.missed < RETRY_SHARE;
-            self.flow.retry_tokens -= if broken { RETRY_CALM } else { 1.0 };
+        if is_final {
+            self.traffic.recent_answers.push(self.now);
+            let earlier_left = self.settings.sticky_keys && self.warm[0] < self.warm[1];
+            let moves = earlier_left && outcome == Outcome::Ok && self.is_newest(build);
+            self.keys_on_newest.extend(request.key.filter(|_| moves));
+        } else if retry {
+            let cheap = outcome == Outcome::Reset && self.dose_response.late_share < RETRY_SHARE;
+            self.traffic.retry_tokens -= if cheap { RESET_RETRY_COST } else { 1.0 };
             self.send(id, request, out);
         } else {
-            self.give_up(id, &request, out);
+            self.answer_unserved(id, &request, out);
         }
     }
 
-    /// Discovery that must be asked: subscribes at the start, and again with back-off.
-    fn ask(&mut self, out: &mut Vec<Action>) {
-        if self.set.subscribe_to_discovery && !self.calls.subscribed && self.now >= self.calls.next_ask {
-            self.calls.next_ask = self.now + self.calls.ask_pause;
-            self.calls.ask_pause = (self.calls.ask_pause * 2.0).min(self.set.discovery_deadline * 0.4);
+    /// Subscribes to discovery where that is needed, and repeats it with back-off.
+    fn subscribe(&mut self, out: &mut Vec<Action>) {
+        if self.settings.subscribe_to_discovery && !self.calls.subscribed && self.now >= self.calls.retry_at {
+            self.calls.retry_at = self.now + self.calls.backoff;
+            self.calls.backoff = (self.calls.backoff * 2.0).min(self.settings.discovery_deadline * 0.4);
             out.push(Action::Subscribe);
         }
     }
 
-    /// Follows the list: a node that drains or is gone gets nothing new from here on (rule 3).
-    fn fleet(&mut self, form: FleetUpdateKind, entries: Vec<NodeEntry>) {
-        self.calls.subscribed = matches!(form, FleetUpdateKind::Update | FleetUpdateKind::Replace);
-        self.calls.ask_pause = if self.calls.subscribed { PAUSE } else { self.calls.ask_pause };
-        if matches!(form, FleetUpdateKind::Replace | FleetUpdateKind::Restored) {
+    /// Applies a discovery message. A node that is draining or gone gets no further request (rule 3).
+    fn update_fleet(&mut self, kind: FleetUpdateKind, entries: Vec<NodeEntry>) {
+        self.calls.subscribed = matches!(kind, FleetUpdateKind::Update | FleetUpdateKind::Replace);
+        self.calls.backoff = if self.calls.subscribed { FIRST_BACKOFF } else { self.calls.backoff };
+        if matches!(kind, FleetUpdateKind::Replace | FleetUpdateKind::Restored) {
             let listed: BTreeSet<&NodeId> = entries.iter().map(|entry| &entry.node).collect();
             self.nodes.retain(|id, _| listed.contains(id));
         }
@@ -218,20 +216,17 @@
                 self.nodes.remove(&entry.node);
                 continue;
             }
-            let (now, dice) = (self.now, &mut self.dice);
-            let mut fresh =
-                |entry| Node { entry, pause: PAUSE, tokens: dice.part(), counted: now, ..Node::default() };
+            let (now, rng) = (self.now, &mut self.rng);
+            let mut new_node = |entry| Node::new(entry, FIRST_BACKOFF, rng.fraction(), now);
             match self.nodes.get_mut(&entry.node) {
                 Some(node) if node.entry.started == entry.started && node.entry.build == entry.build => {
                     node.entry = entry;
                 }
-                // A new start on a known id: what is still out there counts on.
-                Some(node) => *node = Node { inflight: node.inflight, ..fresh(entry) },
-                None => {
-                    self.nodes.insert(entry.node.clone(), fresh(entry));
-                }
+                // A restart under a known id: attempts still in flight keep counting.
+                Some(node) => *node = Node { inflight: node.inflight, ..new_node(entry) },
+                None => drop(self.nodes.insert(entry.node.clone(), new_node(entry))),
             }
         }
-        self.survey();
+        self.refresh_candidates();
     }
 }
--- a/crates/decision/src/policy/cold.rs
+++ b/crates/decision/src/policy/cold.rs
@@ -1,32 +1,33 @@
-//! What a cold node is sent (rule 4; how it is counted is ours).
+//! The requests that a cold node receives (rule 4).
 
 use super::*;
 
-/// What a machine bears, over the most it ever answered; least part of our requests that it is held to bear.
-const MORE: f64 = 1.25;
-const MET_PART: f64 = 0.25;
+/// The load a machine is assumed to bear, over the most it ever answered; its least part of our requests.
+const HEADROOM: f64 = 1.25;
+const MIN_BORNE: f64 = 0.25;
 
 impl Marshal {
-    /// The part of its capacity that a node is sure to have.
+    /// The fraction of its capacity that a node is certain to have.
     pub(super) fn warmth(&self, node: &Node) -> f64 {
         let Some(started) = node.entry.started else { return 1.0 };
-        let age = (self.now - started).max(Ms(0.0)) / self.set.warmup.max(Ms(1.0));
-        (self.set.cold_start_capacity + (1.0 - self.set.cold_start_capacity) * age).min(1.0)
+        let age = (self.now - started).max(Ms(0.0)) / self.settings.warmup.max(Ms(1.0));
+        (self.settings.cold_start_capacity + (1.0 - self.settings.cold_start_capacity) * age).min(1.0)
     }
 
-    /// Rule 4: a cold node gets its share by warmth of our requests, but not of what overload and worthless
-    /// ones add to the most ever answered; from a random part on, since hundreds of whole ones are a burst.
-    pub(super) fn cold_room(&mut self, id: &NodeId) -> bool {
+    /// Rule 4: the token bucket of a cold node. It fills with the node's share of requests times its warmth,
+    /// without what overload and invalid requests add to the highest answer rate so far. It starts at a
+    /// random level, since a whole request from each of hundreds of marshals would be a burst.
+    pub(super) fn has_cold_budget(&mut self, id: &NodeId) -> bool {
         let warmth = self.warmth(&self.nodes[id]);
         if warmth >= 1.0 {
             return true;
         }
-        let taken = self.flow.recent.trim(self.now - RATE_SPAN) as f64 / self.warm[1].max(1.0);
-        let borne = taken.min((self.flow.best * MORE).max(taken * MET_PART)) / RATE_SPAN.0;
-        let rate = borne * warmth * self.set.overload_multiple * 0.4;
+        let requests = self.traffic.recent.trim(self.now - RATE_WINDOW) as f64 / self.warm[1].max(1.0);
+        let borne = requests.min((self.traffic.peak_answers * HEADROOM).max(requests * MIN_BORNE));
+        let rate = borne / RATE_WINDOW.0 * warmth * self.settings.overload_multiple * 0.4;
         let (now, Some(node)) = (self.now, self.nodes.get_mut(id)) else { return false };
-        node.tokens = (node.tokens + rate * (now - node.counted).0).min(1.0 + rate * 300.0);
-        node.counted = now;
-        node.tokens >= 1.0
+        node.cold_tokens = (node.cold_tokens + rate * (now - node.tokens_updated).0).min(1.0 + rate * 300.0);
+        node.tokens_updated = now;
+        node.cold_tokens >= 1.0
     }
 }
--- a/crates/decision/src/policy/evidence.rs
+++ b/crates/decision/src/policy/evidence.rs
@@ -1,200 +1,202 @@
-//! Evidence on a build: the paper's adjusted test (equations 4, 7), looks, clock (page), other signs (ours).
+//! Evidence on a build: the paper's adjusted test (equations 4, 7) at looks, a stage time-out, other signs.
 
 use super::*;
 
-/// The time between looks, so that they span a stage at any traffic.
-const BETWEEN: Ms = Ms(1500.0);
-/// Clock after the newest start (page); the hold lasts as long again.
-const CLOCK: Ms = Ms(2500.0);
-/// Harm in step: level of answer times over the calm, fit (squared correlation; after a release above the
-/// 0.83 of shared slowness on good builds), spread of dose, beats, least part of warm capacity, fading.
-const STEP_LEVEL: f64 = 1.8;
-const STEP_FIT: f64 = 0.7;
-const STEP_FIT_LATE: f64 = 0.88;
-const STEP_SPREAD: f64 = 0.003;
-const STEP_BEATS: u32 = 8;
-const STRAIN: f64 = 0.99;
-const FADE: f64 = 0.995;
-/// After this long a stage's news has settled: answer times are calm again.
-const SETTLED: Ms = Ms(10000.0);
+/// Time between looks, so that they are spread over a stage at any request rate.
+const LOOK_INTERVAL: Ms = Ms(1500.0);
+/// Time after the newest start when a stage advances without a look; doubt holds it as long again.
+const STAGE_TIMEOUT: Ms = Ms(2500.0);
+/// Dose-response harm: minimum latency ratio, fit (squared correlation; after a release above the 0.83 of
+/// shared slowness on good builds), dose variance, periods in a row; the least part of the warm capacity, as
+/// missing capacity slows by itself; decay of the sums.
+const HARM_LATENCY_RATIO: f64 = 1.8;
+const HARM_FIT: f64 = 0.7;
+const HARM_FIT_RELEASED: f64 = 0.88;
+const HARM_DOSE_VARIANCE: f64 = 0.003;
+const HARM_STREAK: u32 = 8;
+const FULL_CAPACITY: f64 = 0.99;
+const DECAY: f64 = 0.995;
+/// Time after a stage change until latencies are back at their baseline.
+const SETTLE_TIME: Ms = Ms(10000.0);
 
 impl Marshal {
-    /// The covariate: the earlier build's mean score for the class just before the send (page).
+    /// The covariate: the earlier build's mean score for the class in the window before the send.
     pub(super) fn covariate(&mut self, class: ClassId) -> f64 {
-        let lane = &mut self.heard.earlier[class.0];
-        while lane.front().is_some_and(|&(at, _)| at < self.now - Ms(COVARIATE_WINDOW as f64)) {
-            lane.pop_front();
-        }
-        lane.iter().map(|&(_, score)| score).sum::<f64>() / (lane.len() as f64).max(1.0)
+        self.stats.trim_scores(class, self.now - Ms(COVARIATE_WINDOW as f64));
+        let scores = &self.stats.earlier_scores[class.0];
+        scores.iter().map(|&(_, score)| score).sum::<f64>() / (scores.len() as f64).max(1.0)
     }
 
-    /// Weight of one outcome in a mean over about a second of our traffic.
-    pub(super) fn pace(&mut self) -> f64 {
-        (RATE_SPAN.0 / 1000.0 / self.flow.recent.trim(self.now - RATE_SPAN).max(1) as f64).clamp(0.01, 0.03)
+    /// The weight of one outcome in a mean over about a second of this marshal's requests.
+    pub(super) fn outcome_weight(&mut self) -> f64 {
+        let requests = self.traffic.recent.trim(self.now - RATE_WINDOW).max(1);
+        (RATE_WINDOW.0 / 1000.0 / requests as f64).clamp(0.01, 0.03)
     }
 
-    /// A unit of evidence: errors and time-outs score 1 (page). Slowness shows only through time-outs, so an
-    /// attempt that outlasts `SLOW_MEANS` of the earlier build's mean on such a machine scores as one.
-    pub(super) fn score(&mut self, id: &NodeId, attempt: &Attempt, verdict: Outcome, latency: Ms) {
+    /// Adds an outcome to the evidence. Errors and time-outs score 1. A slow attempt (`SLOW_FACTOR`, compared
+    /// on the same machine kind) scores as a time-out, since slowness shows in the test in no other way.
+    pub(super) fn record_outcome(&mut self, id: &NodeId, attempt: &Attempt, outcome: Outcome, latency: Ms) {
         let newest = self.is_newest(attempt.build);
-        // Less warm capacity than before the build, as its machines replace others, slows all by itself.
-        let strained = self.warm[1] < STRAIN * self.step.whole;
-        let (full, pace) = (self.pace(), if strained { 0.0 } else { self.pace() });
-        self.step.dose += pace * (f64::from(u8::from(newest)) - self.step.dose);
-        // No evidence on a build: a node that answers nothing; what came while we stood still.
-        let dead = matches!(verdict, Outcome::ConnectFailed | Outcome::Reset)
-            || self.nodes.get(id).is_some_and(|n| n.silent >= SILENT);
-        let told = attempt.scored && !dead && !self.stood;
-        if !told || matches!(verdict, Outcome::NotSent | Outcome::Cancelled | Outcome::Rejected) {
+        // With less warm capacity than before the build, while machines are replaced, latency rises anyway.
+        let reduced = self.warm[1] < FULL_CAPACITY * self.dose_response.initial_capacity;
+        let (full, weight) = (self.outcome_weight(), if reduced { 0.0 } else { self.outcome_weight() });
+        self.dose_response.dose += weight * (f64::from(u8::from(newest)) - self.dose_response.dose);
+        // A node that answers nothing and outcomes from a pause of this marshal are no evidence on a build.
+        let dead = matches!(outcome, Outcome::ConnectFailed | Outcome::Reset)
+            || self.nodes.get(id).is_some_and(|n| n.unanswered >= MAX_UNANSWERED);
+        let usable = attempt.is_evidence && !dead && !self.stalled;
+        if !usable || matches!(outcome, Outcome::NotSent | Outcome::Cancelled | Outcome::Rejected) {
             return;
         }
-        let new = self.on_trial(attempt.build).is_some();
-        let aim = self.set.classes[attempt.class.0].latency_target.0;
-        let took = if verdict == Outcome::Ok { latency.0.min(aim) } else { aim };
-        let calm = self.heard.calm.entry((attempt.class, attempt.kind)).or_default();
-        let settled = self.now - self.trial.since > SETTLED;
-        if !new && settled && self.news.as_ref().is_some_and(|n| n.phase != Phase::Trial) {
-            calm.add(took, FRESH * 0.2);
+        let on_trial = self.trial_cap(attempt.build).is_some();
+        let target = self.settings.classes[attempt.class.0].latency_target.0;
+        let took = if outcome == Outcome::Ok { latency.0.min(target) } else { target };
+        let baseline = self.stats.baseline.entry((attempt.class, attempt.machine_kind)).or_default();
+        let settled = self.now - self.trial.since > SETTLE_TIME;
+        if !on_trial && settled && self.report.as_ref().is_some_and(|n| n.phase != Phase::Trial) {
+            baseline.add(took, MIN_WEIGHT * 0.2);
         }
-        let level = if calm.n < 4.0 { 1.0 } else { took / calm.value.max(1.0) };
-        if verdict != Outcome::Error {
-            self.step.level += pace * (level - self.step.level);
-            self.step.missed += full * (f64::from(u8::from(took >= aim)) - self.step.missed);
+        let ratio = if baseline.n < 4.0 { 1.0 } else { took / baseline.value.max(1.0) };
+        if outcome != Outcome::Error {
+            self.dose_response.add_ratio(ratio, weight);
+            self.dose_response.add_late(took >= target, full);
         }
-        let mean = self.heard.means.entry((attempt.class, attempt.kind)).or_default();
-        let slow = mean.n >= 4.0 && latency.0 > self.bars.2 * mean.value;
-        let score = f64::from(u8::from(verdict != Outcome::Ok || slow));
-        if !new {
-            if verdict == Outcome::Ok {
-                mean.add(latency.0, FRESH * 0.2);
-                self.heard.mean.add(latency.0, FRESH * 0.2);
+        let mean = self.stats.mean_by_kind.entry((attempt.class, attempt.machine_kind)).or_default();
+        let slow = mean.n >= 4.0 && latency.0 > self.limits.slow_factor * mean.value;
+        let score = f64::from(u8::from(outcome != Outcome::Ok || slow));
+        if !on_trial {
+            if outcome == Outcome::Ok {
+                mean.add(latency.0, MIN_WEIGHT * 0.2);
+                self.stats.mean_latency.add(latency.0, MIN_WEIGHT * 0.2);
             }
-            self.heard.earlier[attempt.class.0].push_back((self.now, score));
+            self.stats.earlier_scores[attempt.class.0].push_back((self.now, score));
         }
-        // Sent into a jam of the earlier build: what differs then is how crowded the few new machines are.
+        // While the earlier build is overloaded, outcomes differ by the load on the few new machines.
         if attempt.covariate < WIDESPREAD {
-            self.trial.sums[attempt.class.0][usize::from(new)].add(score, attempt.covariate);
+            self.trial.sums[attempt.class.0][usize::from(on_trial)].add(score, attempt.covariate);
         }
-        let error = f64::from(u8::from(verdict == Outcome::Error));
-        self.after[attempt.class.0][usize::from(newest)].add(error, 0.0);
+        let error = f64::from(u8::from(outcome == Outcome::Error));
+        self.failure_sums[attempt.class.0][usize::from(newest)].add(error, 0.0);
         self.nodes.get_mut(id).into_iter().for_each(|node| node.errors += error as u32);
     }
 
-    /// A wrong answer scores 1 in place of its 0.
-    pub(super) fn complaint(&mut self, id: &NodeId, class: ClassId) {
+    /// Changes the score of one outcome from 0 to 1: its answer was reported as wrong.
+    pub(super) fn record_wrong_answer(&mut self, id: &NodeId, class: ClassId) {
         let Some(node) = self.nodes.get_mut(id) else { return };
         node.errors += 1;
         let build = node.entry.build;
-        let (new, newest) = (self.on_trial(build).is_some(), self.is_newest(build));
-        self.trial.sums[class.0][usize::from(new)].fail_one();
-        self.after[class.0][usize::from(newest)].fail_one();
+        let (on_trial, newest) = (self.trial_cap(build).is_some(), self.is_newest(build));
+        self.trial.sums[class.0][usize::from(on_trial)].fail_one();
+        self.failure_sums[class.0][usize::from(newest)].fail_one();
     }
 
-    /// What this instance has seen of the stage.
-    fn evidence(&self, news: &StageReport) -> Evidence {
-        let of = self.nodes.iter().filter(|(_, n)| n.entry.build == news.build && n.errors > 0);
+    /// This instance's evidence on the present stage.
+    fn evidence(&self, report: &StageReport) -> Evidence {
+        let bad_nodes = self.nodes.iter().filter(|(_, n)| n.entry.build == report.build && n.errors > 0);
         Evidence {
-            build: news.build,
-            stage: news.stage,
+            build: report.build,
+            stage: report.stage,
             test_sums: self.trial.sums.clone(),
-            failure_sums: self.after.clone(),
-            request_counts: self.flow.counts.clone(),
-            errors_by_node: of.map(|(id, n)| (id.clone(), f64::from(n.errors))).collect(),
+            failure_sums: self.failure_sums.clone(),
+            request_counts: self.traffic.request_counts.clone(),
+            errors_by_node: bad_nodes.map(|(id, n)| (id.clone(), f64::from(n.errors))).collect(),
             looks: self.trial.looks as u32,
-            objecting_instances: u32::from(self.group.objects),
+            objecting_instances: u32::from(self.group.objecting),
         }
     }
 
-    /// Where judging is shared, tells the group what was seen; sums so far, so that a repeat changes nothing.
-    pub(super) fn share(&self, out: &mut Vec<Action>) {
-        let news = self.news.as_ref().filter(|_| self.set.group_decisions);
-        out.extend(news.map(|news| Action::ShareEvidence(Box::new(self.evidence(news)))));
+    /// Sends the evidence to the group. These are totals, so a repetition changes nothing.
+    pub(super) fn share_evidence(&self, out: &mut Vec<Action>) {
+        let report = self.report.as_ref().filter(|_| self.settings.group_decisions);
+        out.extend(report.map(|report| Action::ShareEvidence(Box::new(self.evidence(report)))));
     }
 
-    /// The looks of a stage, and its clock (page). Where judging is shared, the one that leads takes them, of
-    /// what all have seen; looks that an earlier leader took count.
-    pub(super) fn judge(&mut self, out: &mut Vec<Action>) {
-        let open = |news: &StageReport| !self.condemned.contains(&news.build);
-        let Some(news) = self.news.clone().filter(open) else { return };
-        let of = |pool: &&Evidence| (pool.build, pool.stage) == (news.build, news.stage);
-        let seen = match (self.set.group_decisions, self.group.leads) {
-            (false, _) => Some(self.evidence(&news)),
-            (true, leads) => self.group.pool.as_ref().filter(of).filter(|_| leads).cloned(),
+    /// Takes the looks of a stage and applies its time limit. With group decisions only the leader looks, at
+    /// the pooled evidence; looks that an earlier leader took count.
+    pub(super) fn evaluate(&mut self, out: &mut Vec<Action>) {
+        let undecided = |report: &StageReport| !self.to_revert.contains(&report.build);
+        let Some(report) = self.report.clone().filter(undecided) else { return };
+        let current = |pool: &&Evidence| (pool.build, pool.stage) == (report.build, report.stage);
+        let evidence = match (self.settings.group_decisions, self.group.is_leader) {
+            (false, _) => Some(self.evidence(&report)),
+            (true, is_leader) => self.group.pool.as_ref().filter(current).filter(|_| is_leader).cloned(),
         };
-        seen.iter().for_each(|seen| self.watch(seen, out));
-        if news.phase == Phase::Trial || self.now - self.trial.since < SETTLED {
-            self.in_step(news.build, out);
+        evidence.iter().for_each(|evidence| self.check_failures(evidence, out));
+        if report.phase == Phase::Trial || self.now - self.trial.since < SETTLE_TIME {
+            self.check_dose_response(report.build, out);
         }
-        let Some(seen) = seen.filter(|_| news.phase == Phase::Trial) else { return };
-        self.trial.looks = self.trial.looks.max(seen.looks as usize);
-        let outcomes: f64 = seen.test_sums.iter().map(|arms| arms[1].n).sum();
-        if self.trial.looks < LOOKS as usize && outcomes >= self.bars.1 && self.now >= self.trial.next_look {
+        let Some(evidence) = evidence.filter(|_| report.phase == Phase::Trial) else { return };
+        self.trial.looks = self.trial.looks.max(evidence.looks as usize);
+        let n: f64 = evidence.test_sums.iter().map(|arms| arms[1].n).sum();
+        if self.trial.looks < LOOKS as usize && n >= self.limits.min_n && self.now >= self.trial.next_look {
             self.trial.looks += 1;
-            self.trial.next_look = self.now + BETWEEN;
-            let (delta, _, _, p) = adjusted_test(&seen.test_sums, &seen.request_counts);
-            if p < self.bars.0 / f64::from(LOOKS) && delta > self.bars.3 {
-                self.condemn(news.build, "on trial", p, out);
-            } else if p >= HOLD_P || delta <= self.bars.3 {
-                self.trial.clean = true;
+            self.trial.next_look = self.now + LOOK_INTERVAL;
+            let (delta, _, _, p) = adjusted_test(&evidence.test_sums, &evidence.request_counts);
+            if p < self.limits.alpha / f64::from(LOOKS) && delta > self.limits.min_effect {
+                self.mark_for_revert(report.build, "on trial", p, out);
+            } else if p >= HOLD_P || delta <= self.limits.min_effect {
+                self.trial.passed = true;
             }
         }
-        let starts = self.nodes.values().filter(|n| n.entry.build == news.build);
-        let newest = starts.filter_map(|n| n.entry.started).fold(self.trial.since, Ms::max);
-        if self.now - newest >= CLOCK && !self.trial.clean {
-            let held = *self.trial.held.get_or_insert(self.now);
-            let (_, _, _, p) = adjusted_test(&seen.test_sums, &seen.request_counts);
-            self.trial.clean = p >= HOLD_P || self.now - held >= CLOCK;
+        let nodes = self.nodes.values().filter(|n| n.entry.build == report.build);
+        let newest_start = nodes.filter_map(|n| n.entry.started).fold(self.trial.since, Ms::max);
+        if self.now - newest_start >= STAGE_TIMEOUT && !self.trial.passed {
+            let held_since = *self.trial.held_since.get_or_insert(self.now);
+            let (_, _, _, p) = adjusted_test(&evidence.test_sums, &evidence.request_counts);
+            self.trial.passed = p >= HOLD_P || self.now - held_since >= STAGE_TIMEOUT;
         }
     }
 
-    /// From here on we stand for sending the build back.
-    fn condemn(&mut self, build: Build, how: &str, p: f64, out: &mut Vec<Action>) {
-        self.condemned.insert(build);
-        out.push(Action::Log(format!("back: build {} {how}, p or fit {p:.4}", build.0)));
+    /// From now on this marshal votes to revert the build.
+    fn mark_for_revert(&mut self, build: Build, reason: &str, p: f64, out: &mut Vec<Action>) {
+        self.to_revert.insert(build);
+        out.push(Action::Log(format!("back: build {} {reason}, p or fit {p:.4}", build.0)));
     }
 
     /// A build may turn bad late: its errors and wrong answers (not slowness), rare as they are, are tested
-    /// against its part of the outcomes, if even over a fourth of its machines, as many as may be of a kind.
-    fn watch(&mut self, seen: &Evidence, out: &mut Vec<Action>) {
-        let own = Excess::of(&seen.failure_sums);
-        let all = self.nodes.values().filter(|n| n.entry.build == seen.build).count() as f64;
-        let (sum, squares) = seen.errors_by_node.values().fold((0.0, 0.0), |(s, q), e| (s + e, q + e * e));
-        let harm = own.score >= self.bars.1 * 0.2 && own.surplus > self.bars.3 * own.units;
-        let even = sum * sum >= (sum / 2.0).min(all / 4.0) * squares;
-        if harm && even && own.units >= self.bars.1 && own.p() < self.bars.0 / f64::from(LOOKS) {
-            self.condemn(seen.build, "by its errors", own.p(), out);
+    /// against its share of outcomes, if even over a fourth of its machines, which may be all of one kind.
+    fn check_failures(&mut self, evidence: &Evidence, out: &mut Vec<Action>) {
+        let (own, limits) = (FailureExcess::of(&evidence.failure_sums), &self.limits);
+        let all = self.nodes.values().filter(|n| n.entry.build == evidence.build).count() as f64;
+        let (sum, sumsq) = evidence.errors_by_node.values().fold((0.0, 0.0), |(s, q), e| (s + e, q + e * e));
+        let harm = own.failures >= limits.min_n * 0.2 && own.surplus > limits.min_effect * own.units;
+        let even = sum * sum >= (sum / 2.0).min(all / 4.0) * sumsq;
+        if harm && even && own.units >= limits.min_n && own.p_value() < limits.alpha / f64::from(LOOKS) {
+            self.mark_for_revert(evidence.build, "by its errors", own.p_value(), out);
         }
-        // The platform counts what each sees a few of; all judge it alike, far below a quorum's level. A few
-        // bad machines among the new are no bad build: it must have three times the errors of the others.
-        let (told, alone) = (self.told.excess(), self.set.group_decisions || self.set.revert_votes <= 1);
-        let harm = told.score > 2.0 && told.surplus > (self.bars.3 * told.units).max(told.score / 1.5);
-        if harm && !alone && told.p() < ALPHA * 0.1 {
-            self.condemn(seen.build, "by the platform's counts", told.p(), out);
+        // The platform counts what each sees little of; all judge that alike, so far below a quorum's level.
+        // A few bad machines among the new are no bad build: it must have three times the others' errors.
+        let single_judge = self.settings.group_decisions || self.settings.revert_votes <= 1;
+        let total = self.platform_counts.excess();
+        let least = (self.limits.min_effect * total.units).max(total.failures / 1.5);
+        if total.failures > 2.0 && total.surplus > least && !single_judge && total.p_value() < ALPHA * 0.1 {
+            self.mark_for_revert(evidence.build, "by the platform's counts", total.p_value(), out);
         }
-        // As many as could vote it back alone; where judging is not shared, nobody objects but by voting.
-        if self.set.group_decisions && seen.objecting_instances >= self.set.revert_votes.max(1) {
-            self.condemn(seen.build, "in step at several", 0.0, out);
+        // As many as could revert it by votes; without group decisions, votes are the only objection.
+        if self.settings.group_decisions && evidence.objecting_instances >= self.settings.revert_votes.max(1)
+        {
+            self.mark_for_revert(evidence.build, "in step at several", 0.0, out);
         }
     }
 
-    /// Harm that slows every server leaves no difference, but rises with the dose: answer times regressed on
-    /// the build's share of our attempts. Could harm where a shared trouble sets in as a stage moves on.
-    fn in_step(&mut self, build: Build, out: &mut Vec<Action>) {
-        self.step.sums.scale(FADE);
-        self.step.sums.add(self.step.level.max(1e-3).ln(), self.step.dose);
-        let (xx, yy, xy) = self.step.sums.centred();
+    /// Harm that slows every server shows no difference, but rises with the dose: latency regressed on the
+    /// build's share of attempts. Could misjudge a shared problem that begins as a stage advances.
+    fn check_dose_response(&mut self, build: Build, out: &mut Vec<Action>) {
+        let response = &mut self.dose_response;
+        response.sums.scale(DECAY);
+        response.sums.add(response.latency_ratio.max(1e-3).ln(), response.dose);
+        let (xx, yy, xy) = response.sums.centred();
         let fit = if xx > 1e-9 && yy > 1e-9 && xy > 0.0 { xy * xy / (xx * yy) } else { 0.0 };
-        let released = self.news.as_ref().is_some_and(|n| n.phase == Phase::Released);
-        let collapse = !released || (self.step.missed >= 0.5 && fit >= STEP_FIT_LATE);
-        // Milder signs from each, as for a look, where earlier machines stay and can't be what is missed.
-        let ease = if self.set.side_by_side { 0.65 + 0.35 * self.bars.1 / MIN_N } else { 1.0 };
-        let signs = (fit / STEP_FIT).min(self.step.level.ln() / STEP_LEVEL.ln());
-        let harm = signs >= ease && xx / self.step.sums.n > STEP_SPREAD;
-        self.step.beats = if harm && collapse { self.step.beats + 1 } else { 0 };
-        self.group.objects =
-            self.set.group_decisions && (self.group.objects || self.step.beats >= STEP_BEATS);
-        if self.step.beats >= STEP_BEATS && !self.set.group_decisions {
-            self.condemn(build, "in step", fit, out);
+        let released = self.report.as_ref().is_some_and(|n| n.phase == Phase::Released);
+        let collapse = !released || (response.late_share >= 0.5 && fit >= HARM_FIT_RELEASED);
+        // Milder signs suffice, as in a look, where earlier machines stay: missing ones can't be the cause.
+        let ease = if self.settings.side_by_side { 0.65 + 0.35 * self.limits.min_n / MIN_N } else { 1.0 };
+        let signs = (fit / HARM_FIT).min(response.latency_ratio.ln() / HARM_LATENCY_RATIO.ln());
+        let harm = signs >= ease && xx / response.sums.n > HARM_DOSE_VARIANCE;
+        response.streak = if harm && collapse { response.streak + 1 } else { 0 };
+        self.group.objecting |= self.settings.group_decisions && response.streak >= HARM_STREAK;
+        if response.streak >= HARM_STREAK && !self.settings.group_decisions {
+            self.mark_for_revert(build, "in step", fit, out);
         }
     }
 }
--- a/crates/decision/src/policy/pick.rs
+++ b/crates/decision/src/policy/pick.rs
@@ -1,181 +1,177 @@
-//! Which server gets a request: two random choices (page) by what is known of each (ours).
+//! The choice of a node for a request: two random candidates, compared by the statistics of each.
 
 use super::*;
 
-/// A latency counts in a node's mean at no more than this many times that mean.
+/// A latency enters a node's mean at no more than this many times the mean.
 const OUTLIER: f64 = 4.0;
-/// A pick leaves the coin's build at over this many times (the other pick's plus one) in flight; not by
-/// speed, since a slow build must go on giving evidence.
-const SPILL: u32 = 2;
-const FAIL_COST: f64 = 5.0; // how much longer a node that always fails ranks
-const DRAWS: usize = 6; // of a server, before the list is walked
-/// How long a value stays news to a rare visitor.
-const MEMORY: Ms = Ms(4000.0);
+/// A request leaves the build drawn for it when that build's candidate has over this many times as many
+/// requests in flight as the other's plus one. Speed doesn't count: a slow build must keep giving evidence.
+const SPILL_FACTOR: u32 = 2;
+const FAILURE_PENALTY: f64 = 5.0; // added to the latency factor of a node that always fails
+const MAX_DRAWS: usize = 6; // random draws of a node before the list is searched
+const MEMORY: Ms = Ms(4000.0); // time constant with which statistics of a rarely used node age
 
 impl Marshal {
-    /// The coin, then two random choices on either side. The coin's build keeps the request unless it has no
-    /// server or far more in flight (`SPILL`): a few new machines, or the last old ones, must not drown.
-    pub(super) fn choose(&mut self, request: &Request) -> Option<(NodeId, f64)> {
-        // The cap rises before the machines of its stage run: the coin never asks more of the new machines
-        // than their even part of what is warm.
+    /// Draws the build, then compares two random candidates of it. The request stays with that build unless
+    /// it has no usable node or far more in flight (`SPILL_FACTOR`), which protects builds with few nodes.
+    pub(super) fn choose_node(&mut self, request: &Request) -> Option<(NodeId, f64)> {
+        // The cap rises before the machines of its stage run: no more than the new build's warm share.
         let even = self.warm[0] / self.warm[1].max(1.0);
-        let trial = |n: &&StageReport| n.phase == Phase::Trial && !self.condemned.contains(&n.build);
-        let coin =
-            self.news.as_ref().filter(trial).map_or(0.0, |n| (FILL * self.granted(n.build, n.cap)).min(even));
-        let heads = self.dice.part() < coin;
-        let stays = request.key.as_ref().is_some_and(|key| self.moved.contains(key));
-        let trial = self.sides[1][1].first().map(|id| self.nodes[id].entry.build);
-        let open = trial.is_some_and(|build| self.within_cap(build, request.class));
-        let new = if open { self.two_choices(request, 1, stays) } else { None };
-        let picks = [self.two_choices(request, 0, stays), new];
-        let [first, second] = if heads || stays { [picks[1].clone(), picks[0].clone()] } else { picks };
+        let on_trial = |n: &&StageReport| n.phase == Phase::Trial && !self.to_revert.contains(&n.build);
+        let report = self.report.as_ref().filter(on_trial);
+        let share = report.map_or(0.0, |n| (FILL * self.granted_cap(n.build, n.cap)).min(even));
+        let prefer_new = self.rng.fraction() < share;
+        let sticky = request.key.as_ref().is_some_and(|key| self.keys_on_newest.contains(key));
+        let build = self.candidates[1][1].first().map(|id| self.nodes[id].entry.build);
+        let open = build.is_some_and(|build| self.within_cap(build, request.class));
+        let new = if open { self.best_of_two(request, 1, sticky) } else { None };
+        let picks = [self.best_of_two(request, 0, sticky), new];
+        let [first, second] = if prefer_new || sticky { [picks[1].clone(), picks[0].clone()] } else { picks };
         let inflight = |pick: &(NodeId, f64)| self.nodes[&pick.0].inflight;
         match (first, second) {
-            (Some(a), Some(b)) if inflight(&a) > SPILL * (inflight(&b) + 1) => Some(b),
+            (Some(a), Some(b)) if inflight(&a) > SPILL_FACTOR * (inflight(&b) + 1) => Some(b),
             (a, b) => a.or(b),
         }
     }
 
-    /// Two random choices nearby, two anywhere and, where few get a connection, two that hold one of ours:
-    /// the least chance of a late answer, by in-flight and failures, plus the price of crossing zones.
-    fn two_choices(&mut self, request: &Request, side: usize, stays: bool) -> Option<(NodeId, f64)> {
+    /// Compares two random nodes of this zone, two of any zone and, where connections are often refused, two
+    /// connected ones. Takes the one with the best chance of an answer in time, less the cross-zone cost.
+    fn best_of_two(&mut self, request: &Request, side: usize, sticky: bool) -> Option<(NodeId, f64)> {
         let mut best: Option<(NodeId, f64, f64)> = None;
-        for place in 0..if self.heard.barred < WIDESPREAD { 2 } else { 3 } {
-            let pool = std::mem::take(&mut self.sides[side][place]);
+        for set in 0..if self.stats.refused_rate < WIDESPREAD { 2 } else { 3 } {
+            let pool = std::mem::take(&mut self.candidates[side][set]);
             for _ in 0..2 {
-                let Some(id) = self.draw(&pool, request, stays) else { break };
-                let predicted = self.predicted(&id);
+                let Some(id) = self.draw_usable(&pool, request, sticky) else { break };
+                let latency = self.predicted_latency(&id);
                 let node = &self.nodes[&id];
-                let far = f64::from(u8::from(self.set.zone != Some(node.entry.zone)));
-                let open = if node.linked { 1.0 } else { 1.0 - self.heard.barred };
-                let failing = 1.0 + FAIL_COST * (node.failing - self.heard.failing).max(0.0);
-                let time = failing * predicted * (node.load + 1.0) / (self.heard.load + 1.0); // at one load
-                let in_time = -(-(request.aim - self.now).0.max(1.0) / time).exp_m1();
-                let cost = far * self.set.cross_zone_cost - open * in_time;
+                let far = f64::from(u8::from(self.settings.zone != Some(node.entry.zone)));
+                let connects = if node.connected { 1.0 } else { 1.0 - self.stats.refused_rate };
+                let failing = 1.0 + FAILURE_PENALTY * (node.failure_rate - self.stats.failure_rate).max(0.0);
+                // Scaled to the same load on every node.
+                let time = failing * latency * (node.mean_inflight + 1.0) / (self.stats.mean_inflight + 1.0);
+                let in_time = -(-(request.target - self.now).0.max(1.0) / time).exp_m1();
+                let cost = far * self.settings.cross_zone_cost - connects * in_time;
                 if best.as_ref().is_none_or(|b| cost < b.2) {
-                    best = Some((id, predicted, cost));
+                    best = Some((id, latency, cost));
                 }
             }
-            self.sides[side][place] = pool;
+            self.candidates[side][set] = pool;
         }
-        best.map(|(id, predicted, _)| (id, predicted))
+        best.map(|(id, latency, _)| (id, latency))
     }
 
-    /// One random server that may take the request: drawn and tested; then the first from the last draw on.
-    fn draw(&mut self, pool: &[NodeId], request: &Request, stays: bool) -> Option<NodeId> {
+    /// A random usable node: a few random draws, then a search of the list from the last one drawn.
+    fn draw_usable(&mut self, pool: &[NodeId], request: &Request, sticky: bool) -> Option<NodeId> {
         let mut at = 0;
-        for _ in 0..DRAWS {
-            at = self.dice.below(pool.len())?;
-            if self.usable(&pool[at], request, stays) {
+        for _ in 0..MAX_DRAWS {
+            at = self.rng.index_below(pool.len())?;
+            if self.is_usable(&pool[at], request, sticky) {
                 return Some(pool[at].clone());
             }
         }
         let (before, after) = pool.split_at(at);
-        after.iter().chain(before).find(|id| self.usable(id, request, stays)).cloned()
+        after.iter().chain(before).find(|id| self.is_usable(id, request, sticky)).cloned()
     }
 
-    /// Whether a server may take the request: awake, in its group, not tried yet, within the cap, with room.
-    fn usable(&mut self, id: &NodeId, request: &Request, stays: bool) -> bool {
+    /// Whether a node may get the request: not ejected, in scope, untried, permitted, in cap and cold budget.
+    fn is_usable(&mut self, id: &NodeId, request: &Request, sticky: bool) -> bool {
         let Some(node) = self.nodes.get(id) else { return false };
         let build = node.entry.build;
-        let kept = match (&request.ran, self.set.classes[request.class.0].dedup_scope) {
-            (Some((home, _, _)), DedupScope::Zone) => *home == node.entry.zone,
-            (Some((_, home, _)), DedupScope::Cell) => *home == node.entry.cell,
+        let in_scope = match (&request.first_run, self.settings.classes[request.class.0].dedup_scope) {
+            (Some((zone, _, _)), DedupScope::Zone) => *zone == node.entry.zone,
+            (Some((_, cell, _)), DedupScope::Cell) => *cell == node.entry.cell,
             _ => true,
         };
-        let awake = self.now >= node.aside_until && (!stays || self.is_newest(build));
-        let anew = kept && !request.tried.contains(id);
+        let available = self.now >= node.ejected_until && (!sticky || self.is_newest(build));
+        let untried = in_scope && !request.tried.contains(id);
         let zone = node.entry.zone;
-        let open = awake && anew && self.permitted(build, zone, request.tenant);
-        open && self.within_cap(build, request.class) && self.cold_room(id)
+        let open = available && untried && self.is_permitted(build, zone, request.tenant);
+        open && self.within_cap(build, request.class) && self.has_cold_budget(id)
     }
 
-    /// Whether a table permits a build there, where the settings want one. All picks pass here, of first
-    /// tries and further ones. Guards against traffic on what the table doesn't know, or permitted long ago.
-    fn permitted(&self, build: Build, zone: ZoneId, tenant: TenantId) -> bool {
-        let Some((table, until)) = &self.permits else { return !self.set.require_permits };
-        let of = (build, zone, tenant);
-        table.released.contains(&of) || (self.now < *until && table.in_rollout.contains(&of))
+    /// Whether the permit table allows the build there. Every attempt is checked, retries too. Guards against
+    /// traffic for combinations that the table does not contain or whose permit has expired.
+    fn is_permitted(&self, build: Build, zone: ZoneId, tenant: TenantId) -> bool {
+        let Some((table, until)) = &self.permits else { return !self.settings.require_permits };
+        let entry = (build, zone, tenant);
+        table.released.contains(&entry) || (self.now < *until && table.in_rollout.contains(&entry))
     }
 
-    /// Keeps what picks need: servers in service by side (earlier builds, those on trial or sent back), near
-    /// and all, and the warm capacity, in machines, of the newest build and of all.
-    pub(super) fn survey(&mut self) {
-        let span = self.flow.recent.trim(self.now - RATE_SPAN) as f64 * (self.set.warmup / RATE_SPAN);
-        self.seldom = span < 4.0 * self.nodes.len() as f64;
-        self.sides = Default::default();
+    /// Recomputes the candidates (builds on trial or reverted count as new), the warm capacity and `sparse`.
+    pub(super) fn refresh_candidates(&mut self) {
+        let requests = self.traffic.recent.trim(self.now - RATE_WINDOW) as f64;
+        self.sparse = requests * (self.settings.warmup / RATE_WINDOW) < 4.0 * self.nodes.len() as f64;
+        self.candidates = Default::default();
         self.warm = [0.0; 2];
         for (id, node) in self.nodes.iter().filter(|(_, n)| n.entry.state == NodeState::InService) {
             let build = node.entry.build;
-            let back = self.condemned.contains(&build) && self.is_newest(build);
-            let side = usize::from(back || self.on_trial(build).is_some());
-            let near = self.set.zone == Some(node.entry.zone);
-            self.sides[side][0].extend(near.then(|| id.clone()));
-            self.sides[side][1].push(id.clone());
-            self.sides[side][2].extend(node.linked.then(|| id.clone()));
+            let reverted = self.to_revert.contains(&build) && self.is_newest(build);
+            let side = usize::from(reverted || self.trial_cap(build).is_some());
+            let near = self.settings.zone == Some(node.entry.zone);
+            self.candidates[side][0].extend(near.then(|| id.clone()));
+            self.candidates[side][1].push(id.clone());
+            self.candidates[side][2].extend(node.connected.then(|| id.clone()));
             let warmth = self.warmth(node);
-            let part = if warmth < 1.0 && self.seldom { warmth * 0.5 } else { warmth }; // rarely has room
+            let part = if warmth < 1.0 && self.sparse { warmth * 0.5 } else { warmth }; // rarely has budget
             self.warm[0] += if self.is_newest(build) { part } else { 0.0 };
             self.warm[1] += warmth;
         }
-        let met = self.flow.met.trim(self.now - RATE_SPAN) as f64 / self.warm[1].max(1.0);
-        self.flow.best = self.flow.best.max(met);
+        let answers = self.traffic.recent_answers.trim(self.now - RATE_WINDOW) as f64 / self.warm[1].max(1.0);
+        self.traffic.peak_answers = self.traffic.peak_answers.max(answers);
     }
 
-    /// Expected answer time: the node's mean, scaled by what is in flight now against then; the longer ago
-    /// it answered, the more it counts as its like, the nodes of its zone and kind.
-    fn predicted(&self, id: &NodeId) -> f64 {
+    /// Expected latency: the node's mean, scaled from the load it was measured at to the present load. As it
+    /// ages, the mean of similar nodes (same zone and machine kind) takes its place.
+    fn predicted_latency(&self, id: &NodeId) -> f64 {
         let node = &self.nodes[id];
-        let like = self.heard.likes.get(&(node.entry.zone, node.entry.machine_kind));
-        let like = like.map_or(self.heard.mean.value.max(1.0), |like| like.0);
-        let fresh = (-((self.now - node.seen) / MEMORY)).exp();
-        let latency = node.latency.map_or(like, |own| like + fresh * (own - like)) / self.warmth(node);
-        latency * (f64::from(node.inflight) + 1.0) / (node.load + 1.0)
+        let similar = self.stats.similar_nodes.get(&(node.entry.zone, node.entry.machine_kind));
+        let similar = similar.map_or(self.stats.mean_latency.value.max(1.0), |similar| similar.0);
+        let fresh = (-((self.now - node.last_answer) / MEMORY)).exp();
+        let latency = node.mean_latency.map_or(similar, |own| similar + fresh * (own - similar));
+        latency / self.warmth(node) * (f64::from(node.inflight) + 1.0) / (node.mean_inflight + 1.0)
     }
 
-    /// Running means of a node. Attempts in a row without any answer set it aside, ever longer.
-    pub(super) fn health(&mut self, id: &NodeId, crowd: f64, verdict: Outcome, latency: Ms) {
+    /// Updates a node's running means. Consecutive attempts without an answer eject it, each time for longer.
+    pub(super) fn update_health(&mut self, id: &NodeId, inflight: f64, outcome: Outcome, latency: Ms) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(id) else { return };
         node.inflight = node.inflight.saturating_sub(1);
-        if verdict == Outcome::NotSent || verdict == Outcome::Cancelled {
+        if outcome == Outcome::NotSent || outcome == Outcome::Cancelled {
             return;
         }
-        let barred = f64::from(u8::from(verdict == Outcome::ConnectFailed));
-        self.heard.barred += if node.linked { 0.0 } else { FRESH * (barred - self.heard.barred) };
-        node.linked = !matches!(verdict, Outcome::ConnectFailed | Outcome::Reset);
-        let failed = f64::from(u8::from(verdict != Outcome::Ok));
-        node.failing += FRESH * (failed - node.failing);
-        self.heard.failing += FRESH * 0.2 * (failed - self.heard.failing);
-        let unanswered = matches!(verdict, Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset);
-        self.heard.unanswered += FRESH * 0.2 * (f64::from(u8::from(unanswered)) - self.heard.unanswered);
-        if !self.stood && (verdict == Outcome::Ok || verdict == Outcome::Timeout) {
-            let weight = |since: Ms| FRESH.max(-(-((now - since) / MEMORY)).exp_m1());
-            let like = self
-                .heard
-                .likes
-                .entry((node.entry.zone, node.entry.machine_kind))
-                .or_insert((latency.0, now));
-            like.0 += weight(like.1) * (latency.0.min(OUTLIER * like.0) - like.0);
-            like.1 = now;
-            let mean = node.latency.unwrap_or(like.0);
-            // One costly request among many must not make a quick node look jammed: a jam shows in a few.
-            node.latency = Some(mean + weight(node.seen) * (latency.0.min(OUTLIER * mean) - mean));
-            node.load += weight(node.seen) * (crowd - node.load); // with the latency it brought, never ahead
-            node.seen = now;
-            self.heard.load += FRESH * 0.2 * (crowd - self.heard.load);
+        let stats = &mut self.stats;
+        let refused = f64::from(u8::from(outcome == Outcome::ConnectFailed));
+        stats.refused_rate += if node.connected { 0.0 } else { MIN_WEIGHT * (refused - stats.refused_rate) };
+        node.connected = !matches!(outcome, Outcome::ConnectFailed | Outcome::Reset);
+        let failed = f64::from(u8::from(outcome != Outcome::Ok));
+        node.failure_rate += MIN_WEIGHT * (failed - node.failure_rate);
+        stats.failure_rate += MIN_WEIGHT * 0.2 * (failed - stats.failure_rate);
+        let unanswered = matches!(outcome, Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset);
+        stats.unanswered_rate += MIN_WEIGHT * 0.2 * (f64::from(u8::from(unanswered)) - stats.unanswered_rate);
+        if !self.stalled && (outcome == Outcome::Ok || outcome == Outcome::Timeout) {
+            let weight = |since: Ms| MIN_WEIGHT.max(-(-((now - since) / MEMORY)).exp_m1());
+            let group = (node.entry.zone, node.entry.machine_kind);
+            let similar = stats.similar_nodes.entry(group).or_insert((latency.0, now));
+            similar.0 += weight(similar.1) * (latency.0.min(OUTLIER * similar.0) - similar.0);
+            similar.1 = now;
+            let (mean, own_weight) = (node.mean_latency.unwrap_or(similar.0), weight(node.last_answer));
+            // Limited: one costly request must not make a fast node look overloaded; overload shows in a few.
+            node.mean_latency = Some(mean + own_weight * (latency.0.min(OUTLIER * mean) - mean));
+            node.mean_inflight += own_weight * (inflight - node.mean_inflight); // with the latency it caused
+            node.last_answer = now;
+            stats.mean_inflight += MIN_WEIGHT * 0.2 * (inflight - stats.mean_inflight);
         }
         if unanswered {
-            node.silent += 1;
-            // When much goes unanswered everywhere it is load: shutting nodes would only crowd the rest.
-            // A break may be one spoilt answer; a dead node refuses the next connection at once.
-            if self.heard.unanswered < WIDESPREAD && (node.silent >= SILENT || barred > 0.0) {
-                node.aside_until = now + node.pause;
-                node.pause = (node.pause * 2.0).min(PAUSE * 8.0);
+            node.unanswered += 1;
+            // Many unanswered attempts everywhere are overload: ejections would load the other nodes more.
+            // A reset may be one bad answer; a dead node refuses the next connection at once.
+            if stats.unanswered_rate < WIDESPREAD && (node.unanswered >= MAX_UNANSWERED || refused > 0.0) {
+                node.ejected_until = now + node.ejection_time;
+                node.ejection_time = (node.ejection_time * 2.0).min(FIRST_BACKOFF * 8.0);
             }
         } else {
-            node.silent = 0;
-            node.pause = PAUSE;
+            node.unanswered = 0;
+            node.ejection_time = FIRST_BACKOFF;
         }
     }
 }
--- a/crates/decision/src/policy/requests.rs
+++ b/crates/decision/src/policy/requests.rs
@@ -1,102 +1,90 @@
-//! A request's life: sent, tried again, answered. Budgets of further tries and holding times are ours.
+//! The life of a request: sending, retries and final answers.
 
 use super::*;
 
-/// A mean expected answer time above this part of the tightest aim is overload; scored from 0.3 to 1.1.
-const PATIENCE: f64 = 0.8;
-const CROWD_GROWTH: f64 = 4.0; // over the crowd a node's mean was seen at: beyond it, slowness is a guess
+/// A predicted latency above this part of the tightest target is overload; values from 0.3 to 1.1 were tried.
+const OVERLOAD_PART: f64 = 0.8;
+const MAX_LOAD_GROWTH: f64 = 4.0; // over the load a latency was measured at; beyond, slowness is a guess
 
 impl Marshal {
-    /// Sends a request that has no attempt out, or gives it its final answer at once.
+    /// Sends a request that has no attempt in flight, or gives it its final answer.
     pub(super) fn send(&mut self, id: RequestId, mut request: Request, out: &mut Vec<Action>) {
-        let Some((node, predicted)) = self.choose(&request) else {
-            return self.give_up(id, &request, out);
+        let Some((node, predicted)) = self.choose_node(&request) else {
+            return self.answer_unserved(id, &request, out);
         };
-        let class = &self.set.classes[request.class.0];
-        // Overload: an answer expected late earns little and delays others. A node with nothing of ours is
-        // tried always, or, where it seldom sees us, ever less often: a bad memory can't shut it for good.
-        let tightest =
-            self.set.classes.iter().fold(class.latency_target, |aim, other| aim.min(other.latency_target));
-        let patience = tightest.min(request.deadline - self.now) * PATIENCE;
+        let class = &self.settings.classes[request.class.0];
+        // Overload: a late answer earns little and delays others. A node without our requests is still tried,
+        // but ever less often if requests are sparse: outdated statistics must not shut it out for good.
+        let tightest = self.settings.classes.iter().map(|c| c.latency_target).fold(Ms(f64::MAX), Ms::min);
+        let limit = tightest.min(request.deadline - self.now) * OVERLOAD_PART;
         let at = &self.nodes[&node];
-        let crowd_growth = (f64::from(at.inflight) + 1.0) / (at.load + 1.0);
-        let over = predicted / (crowd_growth / CROWD_GROWTH).max(1.0) / patience.0.max(1.0);
-        let probe = if self.seldom { over.powi(-3) } else { 1.0 };
-        if request.tries == 0 && over > 1.0 && (self.nodes[&node].inflight > 0 || self.dice.part() > probe) {
-            return self.give_up(id, &request, out);
+        let load_growth = (f64::from(at.inflight) + 1.0) / (at.mean_inflight + 1.0);
+        let overload = predicted / (load_growth / MAX_LOAD_GROWTH).max(1.0) / limit.0.max(1.0);
+        let probe = if self.sparse { overload.powi(-3) } else { 1.0 };
+        if request.attempts == 0 && overload > 1.0 && (at.inflight > 0 || self.rng.fraction() > probe) {
+            return self.answer_unserved(id, &request, out);
         }
         let mut until = request.deadline;
-        // Late earns little and holds up others; but a client that may ask again then comes back with it.
-        let keyed_apart =
-            class.retry_safety == RetrySafety::Deduplicated && class.dedup_scope != DedupScope::All;
-        if class.late_value < 0.5 && (keyed_apart || class.retry_safety == RetrySafety::AtMostOnce) {
-            until = until.min(request.aim);
+        // A late answer earns little and delays others; but a client that may retry would send it again.
+        let scoped = class.retry_safety == RetrySafety::Deduplicated && class.dedup_scope != DedupScope::All;
+        if class.late_value < 0.5 && (scoped || class.retry_safety == RetrySafety::AtMostOnce) {
+            until = until.min(request.target);
         }
-        // Room for a second try where the class allows one; cuts are evidence, so as rare on any kind.
-        let like = self.heard.means.get(&(request.class, self.nodes[&node].entry.machine_kind));
-        let calm = like.filter(|_| self.step.missed < RETRY_SHARE).map(|mean| mean.value * 5.0);
-        let split =
-            Ms((class.latency_target.0 * 0.5).max(calm.unwrap_or(SLOW_MEANS * self.heard.mean.value)));
-        let repeatable = class.retry_safety != RetrySafety::AtMostOnce && self.flow.retry_tokens >= 1.0;
-        if repeatable && request.tries == 0 && split.0 < class.latency_target.0 * 0.75 {
-            until = until.min(self.now + split);
+        // Leaves time for a retry. These time-outs are evidence, so they must be as rare on any machine kind.
+        let mean = self.stats.mean_by_kind.get(&(request.class, at.entry.machine_kind));
+        let usual = mean.filter(|_| self.dose_response.late_share < RETRY_SHARE).map(|mean| mean.value * 5.0);
+        let longest = usual.unwrap_or(SLOW_FACTOR * self.stats.mean_latency.value);
+        let first_timeout = Ms((class.latency_target.0 * 0.5).max(longest));
+        let repeatable = class.retry_safety != RetrySafety::AtMostOnce && self.traffic.retry_tokens >= 1.0;
+        if repeatable && request.attempts == 0 && first_timeout.0 < class.latency_target.0 * 0.75 {
+            until = until.min(self.now + first_timeout);
         }
-        let (covariate, unscored) = (self.covariate(request.class), Ms(BURN_IN as f64).max(self.set.warmup));
-        let entry = &self.nodes[&node].entry;
-        let build = entry.build;
-        let attempt = Attempt {
-            class: request.class,
-            build,
-            kind: entry.machine_kind,
-            home: (entry.zone, entry.cell),
-            sent: self.now,
-            covariate,
-            crowd: f64::from(self.nodes[&node].inflight),
-            scored: !self.stood && entry.started.is_none_or(|at| self.now - at >= unscored),
-        };
-        if self.on_trial(build).is_some() {
-            let classes = self.set.classes.len();
-            let lanes = self.flow.exposed.entry(build).or_insert_with(|| vec![Times::default(); classes]);
-            lanes[request.class.0].push(self.now);
+        let burn_in = Ms(BURN_IN as f64).max(self.settings.warmup);
+        let covariate = self.covariate(request.class);
+        let at = &self.nodes[&node];
+        let build = at.entry.build;
+        let is_evidence = !self.stalled && at.entry.started.is_none_or(|start| self.now - start >= burn_in);
+        let attempt = Attempt::new(request.class, at, self.now, covariate, is_evidence);
+        if self.trial_cap(build).is_some() {
+            self.traffic.add_exposed(build, request.class, self.now);
         }
         if let Some(n) = self.nodes.get_mut(&node) {
             n.inflight += 1;
-            n.tokens -= 1.0;
+            n.cold_tokens -= 1.0;
         }
         out.push(Action::Attempt { id: id.clone(), node: node.clone(), timeout: Some(until - self.now) });
-        self.attempts.insert((id.clone(), request.tries), attempt);
-        request.tries += 1;
+        self.attempts.insert((id.clone(), request.attempts), attempt);
+        request.attempts += 1;
         request.tried.push(node);
         self.requests.insert(id, request);
     }
 
-    /// The final answer for what can't be served: a refusal where the rules allow one, else a failure.
-    pub(super) fn give_up(&mut self, id: RequestId, request: &Request, out: &mut Vec<Action>) {
-        let class = &self.set.classes[request.class.0];
-        let harmless = match class.retry_safety {
+    /// The final answer to a request that can't be served: a refusal where a repeat is safe, else a failure.
+    pub(super) fn answer_unserved(&mut self, id: RequestId, request: &Request, out: &mut Vec<Action>) {
+        let class = &self.settings.classes[request.class.0];
+        let safe = match class.retry_safety {
             RetrySafety::Idempotent => true,
-            effect => {
-                request.ran.is_none()
-                    || (effect == RetrySafety::Deduplicated && class.dedup_scope == DedupScope::All)
-            }
+            RetrySafety::Deduplicated => request.first_run.is_none() || class.dedup_scope == DedupScope::All,
+            RetrySafety::AtMostOnce => request.first_run.is_none(),
         };
-        let wait = self.set.retry_after.then(|| class.latency_target.min(self.set.max_retry_after));
-        out.push(if harmless { Action::Refuse(id, wait) } else { Action::Fail(id) });
-        let early = f64::from(u8::from(request.tries == 0));
-        self.step.missed += early * self.pace() * (1.0 - self.step.missed);
+        let wait = self.settings.retry_after.then(|| class.latency_target.min(self.settings.max_retry_after));
+        out.push(if safe { Action::Refuse(id, wait) } else { Action::Fail(id) });
+        let weight = f64::from(u8::from(request.attempts == 0)) * self.outcome_weight();
+        self.dose_response.add_late(true, weight);
     }
 
-    /// Whether the rules and the time left allow a further attempt, and the retry budget pays for it.
+    /// Whether the rules, the remaining time and the retry budget allow a further attempt.
     pub(super) fn may_retry(&self, request: &Request) -> bool {
-        let class = &self.set.classes[request.class.0];
-        let allowed = match (class.retry_safety, &request.ran) {
+        let class = &self.settings.classes[request.class.0];
+        let in_window = |sent: Ms| self.now + self.settings.tick < sent + class.dedup_window;
+        let allowed = match (class.retry_safety, &request.first_run) {
             (_, None) | (RetrySafety::Idempotent, _) => true,
             (RetrySafety::AtMostOnce, Some(_)) => false,
-            (RetrySafety::Deduplicated, Some((_, _, sent))) => {
-                self.now + self.set.tick < *sent + class.dedup_window
-            }
+            (RetrySafety::Deduplicated, Some((_, _, sent))) => in_window(*sent),
         };
-        let paid = self.flow.retry_tokens >= 1.0 && request.tries < self.set.max_attempts;
-        allowed && paid && (request.aim.min(request.deadline) - self.now).0 > self.heard.mean.value
+        let budget = self.traffic.retry_tokens >= 1.0 && request.attempts < self.settings.max_attempts;
+        allowed
+            && budget
+            && (request.target.min(request.deadline) - self.now).0 > self.stats.mean_latency.value
     }
 }
--- a/crates/decision/src/policy/votes.rs
+++ b/crates/decision/src/policy/votes.rs
@@ -1,122 +1,124 @@
-//! Votes cast and stages told (page; when a vote is cast again is ours).
+//! Casting votes, and reports on the newest build.
 
 use super::*;
 
 impl Marshal {
-    /// What the group tells. A decision to send back stands above all; one to go on holds for its stage.
-    pub(super) fn group(&mut self, news: GroupMessage, out: &mut Vec<Action>) {
-        match news {
-            GroupMessage::Leadership(leads) => self.group.leads = leads,
+    /// Handles a group message. A decision to revert is final; one to advance is valid for its stage.
+    pub(super) fn handle_group_message(&mut self, message: GroupMessage, out: &mut Vec<Action>) {
+        match message {
+            GroupMessage::Leadership(is_leader) => self.group.is_leader = is_leader,
             GroupMessage::PooledEvidence(pool) => self.group.pool = Some(pool),
-            GroupMessage::ExposureGrant(build, cap) => self.group.granted = Some((build, cap)),
+            GroupMessage::ExposureGrant(build, cap) => self.group.grant = Some((build, cap)),
             GroupMessage::Decided(build, stage, vote) => {
                 if vote == Vote::Revert {
-                    self.condemned.insert(build);
+                    self.to_revert.insert(build);
                 }
-                let back = |(of, _, was): (Build, u32, Vote)| of == build && was == Vote::Revert;
-                if !self.group.decided.is_some_and(back) {
+                let reverted = |(of, _, was): (Build, u32, Vote)| of == build && was == Vote::Revert;
+                if !self.group.decided.is_some_and(reverted) {
                     self.group.decided = Some((build, stage, vote));
                 }
-                self.vote(out);
+                self.cast_vote(out);
             }
         }
     }
 
-    /// Casts the vote for what this marshal holds, again when it lapses or went unheard.
-    pub(super) fn vote(&mut self, out: &mut Vec<Action>) {
-        let (Some(news), held) = (&self.news, self.trial.held.is_some()) else { return };
-        let agreed = self.group.decided == Some((news.build, news.stage, Vote::Advance));
-        let vote = match (news.phase, self.condemned.contains(&news.build), self.set.control) {
+    /// Casts this marshal's vote, and repeats it when it expires or stays unanswered.
+    pub(super) fn cast_vote(&mut self, out: &mut Vec<Action>) {
+        let (Some(report), held) = (&self.report, self.trial.held_since.is_some()) else { return };
+        let (build, stage) = (report.build, report.stage);
+        let agreed = self.group.decided == Some((build, stage, Vote::Advance));
+        let vote = match (report.phase, self.to_revert.contains(&build), self.settings.control) {
             (Phase::Trial | Phase::Released, true, _) => Vote::Revert,
-            (Phase::Trial, false, StageControl::Votes) if self.trial.clean || agreed => Vote::Advance,
-            (Phase::Trial, false, StageControl::Timed) if held && !self.trial.clean => Vote::Hold,
+            (Phase::Trial, false, StageControl::Votes) if self.trial.passed || agreed => Vote::Advance,
+            (Phase::Trial, false, StageControl::Timed) if held && !self.trial.passed => Vote::Hold,
             _ => return,
         };
-        if self.set.group_decisions && vote != Vote::Hold {
-            // Only what the group has decided is voted: by the one that leads where one vote is enough, by
-            // all where several are wanted. Guards against two instances that act on two judgements.
-            let (build, stage) = (news.build, news.stage);
+        let reverts = vote == Vote::Revert;
+        if self.settings.group_decisions && vote != Vote::Hold {
+            // Only group decisions are voted for: by the leader where one vote is enough, by all instances
+            // where several are needed. Guards against two instances that act on different judgements.
             if !self.group.decided.is_some_and(|(of, at, was)| (of, was) == (build, vote) && at <= stage)
                 || (vote == Vote::Advance && self.group.decided.map(|(_, at, _)| at) != Some(stage))
             {
-                out.extend(self.group.leads.then_some(Action::ProposeDecision { build, stage, vote }));
+                out.extend(self.group.is_leader.then_some(Action::ProposeDecision { build, stage, vote }));
                 return;
             }
-            let wanted = if vote == Vote::Revert { self.set.revert_votes } else { self.set.advance_votes };
-            if wanted <= 1 && !self.group.leads {
+            let needed = if reverts { self.settings.revert_votes } else { self.settings.advance_votes };
+            if needed <= 1 && !self.group.is_leader {
                 return;
             }
         }
-        if let Some(cast) = &self.calls.cast {
-            let same = cast.what == (news.build, news.stage, vote);
-            // One that still stands adds nobody: renewed late where the platform's calls are few for so many.
-            let stands = self.calls.turn.max(self.set.vote_ttl * 0.5).min(self.set.vote_ttl);
-            let life = if cast.answered { stands } else { self.set.vote_answer_timeout };
-            let waits = vote != Vote::Revert || cast.what.2 == vote; // a first vote back takes no turn
-            if (same && self.now < cast.at + life) || (waits && self.now < self.calls.next_call) {
+        if let Some(last) = &self.calls.last_vote {
+            let same = last.ballot == (build, stage, vote);
+            // Repeating a valid vote adds nothing: renewed late where the call budget is small for so many.
+            let renewal = self.calls.interval.max(self.settings.vote_ttl * 0.5).min(self.settings.vote_ttl);
+            let valid_for = if last.answered { renewal } else { self.settings.vote_answer_timeout };
+            let throttled = !reverts || last.ballot.2 == vote; // the first vote to revert does not wait
+            if (same && self.now < last.at + valid_for) || (throttled && self.now < self.calls.next_vote) {
                 return;
             }
         }
-        self.calls.next_call = self.now + if vote == Vote::Revert { BEAT } else { self.calls.turn.max(BEAT) };
-        self.calls.cast = Some(Cast { what: (news.build, news.stage, vote), at: self.now, answered: false });
-        out.push(Action::CastVote { build: news.build, stage: news.stage, vote });
+        self.calls.next_vote = self.now + if reverts { PERIOD } else { self.calls.interval.max(PERIOD) };
+        self.calls.last_vote = Some(SentVote { ballot: (build, stage, vote), at: self.now, answered: false });
+        out.push(Action::CastVote { build, stage, vote });
     }
 
-    /// News of the newest build, or the answer to a vote.
-    pub(super) fn stage(&mut self, news: StageReport, out: &mut Vec<Action>) {
-        if let (true, Some(cast)) = (news.answers_vote, &mut self.calls.cast) {
-            cast.answered = news.outcome == Outcome::Ok;
-            if !cast.answered {
-                // Unheard, or maybe so: again, but not into a platform that is full, nor hundreds at once.
-                let wait = self.calls.turn.max(PAUSE * 2.0) * (0.5 * self.dice.part());
-                cast.at = Ms(f64::MIN);
-                self.calls.next_call = self.calls.next_call.max(self.now + wait);
+    /// Handles a report on the newest build, or the answer to a vote.
+    pub(super) fn handle_report(&mut self, report: StageReport, out: &mut Vec<Action>) {
+        if let (true, Some(last)) = (report.answers_vote, &mut self.calls.last_vote) {
+            last.answered = report.outcome == Outcome::Ok;
+            if !last.answered {
+                // Maybe lost: repeated, after a random pause lest hundreds do so at once at a full platform.
+                let pause = self.calls.interval.max(FIRST_BACKOFF * 2.0) * (0.5 * self.rng.fraction());
+                last.at = Ms(f64::MIN);
+                self.calls.next_vote = self.calls.next_vote.max(self.now + pause);
             }
         }
-        let before = self.news.as_ref().map(|old| (old.build, old.stage, old.phase, old.cap));
-        if news.outcome != Outcome::Ok || before.is_some_and(|(build, ..)| news.build < build) {
+        let before = self.report.as_ref().map(|old| (old.build, old.stage, old.phase, old.cap));
+        if report.outcome != Outcome::Ok || before.is_some_and(|(build, ..)| report.build < build) {
             return;
         }
         if let Some((build, _, _, cap)) = before {
-            if build == news.build && news.cap != cap {
-                self.flow.cut = (news.cap < cap).then_some((self.now, cap)); // a raise counts all
+            if build == report.build && report.cap != cap {
+                self.traffic.lowered_cap = (report.cap < cap).then_some((self.now, cap));
+                // a raise counts all
             }
-            if build < news.build {
-                (self.flow.cut, self.step.dose, self.step.sums) = (None, 0.0, Sums::default());
-                self.step.whole = self.warm[1];
-                self.group.objects = false;
-                self.told = Periods::new(self.set.classes.len());
-                self.flow.exposed.retain(|&b, _| b >= news.build);
-                self.moved.clear();
-                // A build that was kept is what the next one is compared with.
-                let kept = !self.condemned.contains(&build);
-                for arms in self.after.iter_mut().filter(|arms| kept && arms[1].n > 0.0) {
+            if build < report.build {
+                self.traffic.lowered_cap = None;
+                self.dose_response.restart(self.warm[1]);
+                self.group.objecting = false;
+                self.platform_counts = PeriodCounts::new(self.settings.classes.len());
+                self.traffic.exposed.retain(|&exposed, _| exposed >= report.build);
+                self.keys_on_newest.clear();
+                // The next build is compared with this one, unless this one was rejected.
+                let kept = !self.to_revert.contains(&build);
+                for arms in self.failure_sums.iter_mut().filter(|arms| kept && arms[1].n > 0.0) {
                     arms[0] = arms[1];
                 }
-                self.condemned.retain(|&old| old >= news.build); // builds never stop being new
+                self.to_revert.retain(|&old| old >= report.build); // else the set would grow without bound
             }
         }
-        if matches!(news.phase, Phase::Reverting | Phase::Withdrawn) {
-            self.condemned.insert(news.build);
-            self.moved.clear();
+        if matches!(report.phase, Phase::Reverting | Phase::Withdrawn) {
+            self.to_revert.insert(report.build);
+            self.keys_on_newest.clear();
         }
-        if before.map(|(b, s, p, _)| (b, s, p)) != Some((news.build, news.stage, news.phase)) {
-            // Units of a stage that was never looked at are still fresh for the next one.
-            let same = before.is_some_and(|(build, ..)| build == news.build);
-            let sums = std::mem::take(&mut self.trial.sums);
-            let sums =
-                if same && self.trial.looks == 0 { sums } else { vec![Default::default(); sums.len()] };
-            let new = before.is_some() || news.phase == Phase::Trial;
-            let since = if new { self.now - news.age } else { Ms(f64::MIN) };
+        if before.map(|(b, s, p, _)| (b, s, p)) != Some((report.build, report.stage, report.phase)) {
+            // Outcomes of a stage without a look are still unused, and are kept for the next stage.
+            let same = before.is_some_and(|(build, ..)| build == report.build);
+            let old = std::mem::take(&mut self.trial.sums);
+            let sums = if same && self.trial.looks == 0 { old } else { vec![Default::default(); old.len()] };
+            let is_new = before.is_some() || report.phase == Phase::Trial;
+            let since = if is_new { self.now - report.age } else { Ms(f64::MIN) };
             self.trial = Trial { sums, since, ..Trial::default() };
-            // Harm that comes late must not drown in clean earlier stages; signs of harm are kept.
-            let all = self.after.iter().fold(Sums::default(), |sum, arms| sum.plus(&arms[1]));
-            for arms in self.after.iter_mut().filter(|_| !same || all.y <= self.bars.3 * all.n) {
+            // Clean outcomes of earlier stages would hide harm that begins late; signs of harm are kept.
+            let all = self.failure_sums.iter().fold(Sums::default(), |sum, arms| sum.plus(&arms[1]));
+            let clean = all.y <= self.limits.min_effect * all.n;
+            for arms in self.failure_sums.iter_mut().filter(|_| !same || clean) {
                 arms[1] = Sums::default();
             }
         }
-        self.news = Some(news);
-        self.survey();
-        self.vote(out);
+        self.report = Some(report);
+        self.refresh_candidates();
+        self.cast_vote(out);
     }
 }
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -1,178 +1,258 @@
-//! What a marshal holds of nodes, requests and trials: plain records, free of any decision.
+//! A marshal's records of nodes, requests and trials: plain data without decision logic.
 
 use crate::interface::*;
-use crate::statistics::{Mean, Times};
+use crate::statistics::{EventTimes, RunningMean};
 use milletwing_sequential_test::Sums;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A server as this marshal knows it.
+/// This marshal's view of a server.
 #[derive(Debug, Default)]
 pub(crate) struct Node {
     pub entry: NodeEntry,
     pub inflight: u32,
-    /// Running means of latency and of our requests in flight at the send.
-    pub latency: Option<f64>,
-    pub load: f64,
-    /// When it last answered.
-    pub seen: Ms,
+    /// Running means of the latency and of this marshal's requests in flight at the time of each send.
+    pub mean_latency: Option<f64>,
+    pub mean_inflight: f64,
+    pub last_answer: Ms,
     /// Running share of attempts that failed.
-    pub failing: f64,
-    /// Errors and complaints since its start.
+    pub failure_rate: f64,
+    /// Errors and reported wrong answers since the node's start.
     pub errors: u32,
-    pub silent: u32,
-    pub aside_until: Ms,
-    pub pause: Ms,
-    /// Whether it holds a connection of ours, as far as the last attempt told.
-    pub linked: bool,
-    /// Cold budget: tokens and when they were counted.
-    pub tokens: f64,
-    pub counted: Ms,
+    /// Consecutive attempts without any answer.
+    pub unanswered: u32,
+    pub ejected_until: Ms,
+    pub ejection_time: Ms,
+    /// Whether this marshal holds a connection to the node, judging by the last attempt.
+    pub connected: bool,
+    /// Tokens of the budget for a cold node, and when they were last refilled.
+    pub cold_tokens: f64,
+    pub tokens_updated: Ms,
 }
 
-/// A request that owes its final answer.
+impl Node {
+    pub fn new(entry: NodeEntry, ejection_time: Ms, cold_tokens: f64, now: Ms) -> Node {
+        Node { entry, ejection_time, cold_tokens, tokens_updated: now, ..Node::default() }
+    }
+}
+
+/// A request that has not received its final answer.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub class: ClassId,
     pub key: Option<Key>,
     pub tenant: TenantId,
-    /// Until when an answer earns its full worth.
-    pub aim: Ms,
+    /// Time until which an answer earns its full value.
+    pub target: Ms,
     pub deadline: Ms,
-    pub tries: u32,
+    pub attempts: u32,
     pub tried: Vec<NodeId>,
     /// The first attempt that may have run: its node's zone and cell, and when it was sent.
-    pub ran: Option<(ZoneId, u32, Ms)>,
-    /// The attempt before, if it ended in an error that is not judged yet, and its node.
-    pub erred: Option<(Attempt, NodeId)>,
+    pub first_run: Option<(ZoneId, u32, Ms)>,
+    /// The previous attempt and its node, if it ended in an error that has not been scored yet.
+    pub pending_error: Option<(Attempt, NodeId)>,
 }
 
 impl Request {
-    /// One that was just taken.
-    pub fn new(class: ClassId, key: Option<Key>, tenant: Option<TenantId>, aim: Ms, deadline: Ms) -> Request {
+    pub fn new(class: ClassId, key: Option<Key>, tenant: Option<TenantId>, target: Ms, deadline: Ms) -> Self {
         let tenant = tenant.unwrap_or(PermitTable::NO_TENANT);
-        Request { class, key, tenant, aim, deadline, tries: 0, tried: Vec::new(), ran: None, erred: None }
+        let (tried, first_run, pending_error) = (Vec::new(), None, None);
+        Request { class, key, tenant, target, deadline, attempts: 0, tried, first_run, pending_error }
     }
 }
 
-/// Where, how and after how long an attempt ended.
+/// The end of an attempt: its node, outcome and latency.
 pub(crate) type Ended = (NodeId, Outcome, Ms);
 
-/// An attempt that is out.
+/// An attempt in flight.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub class: ClassId,
     pub build: Build,
-    pub kind: MachineKindId,
-    pub home: (ZoneId, u32),
+    pub machine_kind: MachineKindId,
+    /// Zone and cell of its node.
+    pub location: (ZoneId, u32),
     pub sent: Ms,
     pub covariate: f64,
-    /// Our requests in flight at its node as it was sent.
-    pub crowd: f64,
-    pub scored: bool,
+    /// This marshal's requests in flight at the node when the attempt was sent.
+    pub node_inflight: f64,
+    /// Whether its outcome counts as evidence on its build.
+    pub is_evidence: bool,
+}
+
+impl Attempt {
+    pub fn new(class: ClassId, node: &Node, sent: Ms, covariate: f64, is_evidence: bool) -> Attempt {
+        Attempt {
+            class,
+            build: node.entry.build,
+            machine_kind: node.entry.machine_kind,
+            location: (node.entry.zone, node.entry.cell),
+            sent,
+            covariate,
+            node_inflight: f64::from(node.inflight),
+            is_evidence,
+        }
+    }
 }
 
-/// What this marshal holds of the build on trial.
+/// The state of the build on trial in its present stage.
 #[derive(Debug, Default)]
 pub(crate) struct Trial {
+    /// Sums for the adjusted test, by class: those of the earlier build and of the build on trial.
     pub sums: Vec<[Sums; 2]>,
     pub looks: usize,
     pub next_look: Ms,
-    pub clean: bool,
-    pub held: Option<Ms>,
+    /// Whether the stage may advance.
+    pub passed: bool,
+    /// Since when doubt has held the stage.
+    pub held_since: Option<Ms>,
     pub since: Ms,
 }
 
-/// The vote cast last: what, when, and whether it was heard.
+/// The last vote: its content, when it was cast, and whether the platform confirmed it.
 #[derive(Debug)]
-pub(crate) struct Cast {
-    pub what: (Build, u32, Vote),
+pub(crate) struct SentVote {
+    pub ballot: (Build, u32, Vote),
     pub at: Ms,
     pub answered: bool,
 }
 
-/// What answers have told, over all nodes.
+/// Limits for evidence on a build.
 #[derive(Debug, Default)]
-pub(crate) struct Heard {
-    /// The earlier build's scores within the covariate's span, by class.
-    pub earlier: Vec<VecDeque<(Ms, f64)>>,
-    /// The earlier build's mean latency, by class and kind and over all.
-    pub means: BTreeMap<(ClassId, MachineKindId), Mean>,
-    pub mean: Mean,
+pub(crate) struct EvidenceLimits {
+    /// One-sided significance level (alpha) of a vote to revert, over all looks.
+    pub alpha: f64,
+    /// Outcomes of the new build that a look needs.
+    pub min_n: f64,
+    /// An attempt that takes longer than this many mean latencies is slow.
+    pub slow_factor: f64,
+    /// Smallest surplus of failures that counts as harm.
+    pub min_effect: f64,
+}
+
+/// Statistics of the answers of all nodes.
+#[derive(Debug, Default)]
+pub(crate) struct AnswerStats {
+    /// The earlier build's scores within the span of the covariate, by class.
+    pub earlier_scores: Vec<VecDeque<(Ms, f64)>>,
+    /// The earlier build's mean latency, by class and machine kind, and overall.
+    pub mean_by_kind: BTreeMap<(ClassId, MachineKindId), RunningMean>,
+    pub mean_latency: RunningMean,
     /// Mean latency while no build is on trial.
-    pub calm: BTreeMap<(ClassId, MachineKindId), Mean>,
-    /// Mean latency of the nodes of a zone and kind, and when it was last heard.
-    pub likes: BTreeMap<(ZoneId, MachineKindId), (f64, Ms)>,
-    /// Running shares of attempts without an answer, of failed ones, and of errors that a further attempt
-    /// elsewhere cured.
-    pub unanswered: f64,
-    pub failing: f64,
-    pub cured: Mean,
-    /// Running share of attempts at nodes not linked that got no connection.
-    pub barred: f64,
-    /// Running mean of our requests in flight at a node as another was sent there.
-    pub load: f64,
-}
-
-/// Answer times against the dose of the newest build.
+    pub baseline: BTreeMap<(ClassId, MachineKindId), RunningMean>,
+    /// Mean latency of the nodes of a zone and machine kind, and when it was last updated.
+    pub similar_nodes: BTreeMap<(ZoneId, MachineKindId), (f64, Ms)>,
+    /// Running shares of attempts without an answer, of failed attempts, and of errors after which a further
+    /// attempt on another node succeeded.
+    pub unanswered_rate: f64,
+    pub failure_rate: f64,
+    pub retry_gain: RunningMean,
+    /// Running share of attempts on nodes without a connection that could not connect.
+    pub refused_rate: f64,
+    /// Running mean of this marshal's requests in flight at a node when another was sent there.
+    pub mean_inflight: f64,
+}
+
+impl AnswerStats {
+    /// Drops the scores of a class before `from`.
+    pub fn trim_scores(&mut self, class: ClassId, from: Ms) {
+        let scores = &mut self.earlier_scores[class.0];
+        while scores.front().is_some_and(|&(at, _)| at < from) {
+            scores.pop_front();
+        }
+    }
+}
+
+/// The dependence of latency (the response) on the newest build's share of traffic (the dose).
 #[derive(Debug, Default)]
-pub(crate) struct Step {
-    /// Share of our attempts at the newest build.
+pub(crate) struct DoseResponse {
+    /// Share of this marshal's attempts that go to the newest build.
     pub dose: f64,
-    /// Level of answer times against the calm before it, and the share that missed the aim.
-    pub level: f64,
-    pub missed: f64,
-    /// Fading sums of dose (covariate) and level (score), and for how long they have stood in step.
+    /// Latency relative to the baseline before the build, and the share of requests that missed their target.
+    pub latency_ratio: f64,
+    pub late_share: f64,
+    /// Decaying sums of the dose (covariate) and the latency ratio (score), and for how many timer periods in
+    /// a row they have shown harm.
     pub sums: Sums,
-    pub beats: u32,
-    /// Warm capacity as the build was offered.
-    pub whole: f64,
+    pub streak: u32,
+    /// Warm capacity when the build was offered.
+    pub initial_capacity: f64,
 }
 
-/// What comes in and goes out.
+impl DoseResponse {
+    /// Forgets the previous build; a new one is offered at this warm capacity.
+    pub fn restart(&mut self, capacity: f64) {
+        (self.dose, self.sums) = (0.0, Sums::default());
+        self.initial_capacity = capacity;
+    }
+    pub fn add_ratio(&mut self, ratio: f64, weight: f64) {
+        self.latency_ratio += weight * (ratio - self.latency_ratio);
+    }
+    pub fn add_late(&mut self, late: bool, weight: f64) {
+        self.late_share += weight * (f64::from(u8::from(late)) - self.late_share);
+    }
+}
+
+/// Requests, attempts and answers over time.
 #[derive(Debug, Default)]
-pub(crate) struct Flow {
-    /// Requests taken and attempts at builds on trial within the window, by class.
-    pub taken: Vec<Times>,
-    pub exposed: BTreeMap<Build, Vec<Times>>,
-    /// When the cap was last lowered, and from what.
-    pub cut: Option<(Ms, f64)>,
-    /// Requests of late, and of each class since the start.
-    pub recent: Times,
-    /// Answers of late, and the most at a warm machine so far.
-    pub met: Times,
-    pub best: f64,
-    pub counts: Vec<f64>,
+pub(crate) struct Traffic {
+    /// Requests within the exposure window, and attempts on builds on trial, by class.
+    pub requests: Vec<EventTimes>,
+    pub exposed: BTreeMap<Build, Vec<EventTimes>>,
+    /// When the cap was last lowered, and its value before.
+    pub lowered_cap: Option<(Ms, f64)>,
+    /// Requests within the rate window, and answers within it.
+    pub recent: EventTimes,
+    pub recent_answers: EventTimes,
+    /// The highest number of answers per warm machine within a rate window so far.
+    pub peak_answers: f64,
+    /// Requests of each class since the start.
+    pub request_counts: Vec<f64>,
     pub retry_tokens: f64,
 }
 
-impl Flow {
-    /// Nothing yet.
-    pub fn new(classes: usize, retry_tokens: f64) -> Flow {
-        let taken = vec![Times::default(); classes];
-        Flow { taken, counts: vec![1.0; classes], retry_tokens, ..Flow::default() }
+impl Traffic {
+    pub fn new(classes: usize, retry_tokens: f64) -> Traffic {
+        let requests = vec![EventTimes::default(); classes];
+        Traffic { requests, request_counts: vec![1.0; classes], retry_tokens, ..Traffic::default() }
+    }
+    pub fn add_request(&mut self, class: ClassId, now: Ms) {
+        self.request_counts[class.0] += 1.0;
+        self.requests[class.0].push(now);
+        self.recent.push(now);
+    }
+    /// Drops the request times before `from`.
+    pub fn trim_requests(&mut self, from: Ms) {
+        self.requests.iter_mut().fold(0, |n, times| n + times.trim(from));
+    }
+    /// Counts an attempt on a build on trial.
+    pub fn add_exposed(&mut self, build: Build, class: ClassId, now: Ms) {
+        let classes = self.requests.len();
+        let exposed = self.exposed.entry(build).or_insert_with(|| vec![EventTimes::default(); classes]);
+        exposed[class.0].push(now);
     }
 }
 
 /// Calls to the platform and to discovery.
 #[derive(Debug, Default)]
 pub(crate) struct Calls {
-    pub cast: Option<Cast>,
-    pub next_call: Ms,
-    /// How long the platform's budget lasts for one call of each marshal.
-    pub turn: Ms,
-    pub next_ask: Ms,
-    pub ask_pause: Ms,
+    pub last_vote: Option<SentVote>,
+    pub next_vote: Ms,
+    /// Time that the platform's call budget needs for one call of each marshal.
+    pub interval: Ms,
+    /// Whether discovery is subscribed to; if not, when to try again, and the pause after that attempt.
     pub subscribed: bool,
+    pub retry_at: Ms,
+    pub backoff: Ms,
 }
 
-/// What the group of instances that judge as one has told; unused where each judges alone.
+/// The latest messages of the group of instances; unused where each instance decides alone.
 #[derive(Debug, Default)]
-pub(crate) struct Together {
-    pub leads: bool,
+pub(crate) struct GroupState {
+    pub is_leader: bool,
     pub pool: Option<Evidence>,
-    /// What was decided last of the newest build.
+    /// The last decision on the newest build.
     pub decided: Option<(Build, u32, Vote)>,
-    pub granted: Option<(Build, f64)>,
-    /// Whether this instance sees harm in step.
-    pub objects: bool,
+    pub grant: Option<(Build, f64)>,
+    /// Whether this instance sees latency rise with the build's share of traffic.
+    pub objecting: bool,
 }
--- a/crates/decision/tests/decisions/rules.rs
+++ b/crates/decision/tests/decisions/rules.rs
@@ -379,7 +379,7 @@
 #[test]
 fn the_aim_is_stretched_by_the_work_where_the_settings_say_so() {
     let mut set = settings();
-    set.classes[2].latency_target_per_work = 1.5;
+    set.classes[2].target_per_work = 1.5;
     let mut b = Bench::new(set, fleet(1, 2), 1);
     let out = b.give(Event::Request {
         id: id("r"),
--- a/crates/decision/tests/decisions/thin.rs
+++ b/crates/decision/tests/decisions/thin.rs
@@ -5,13 +5,8 @@
 
 /// One of 300, of whom 75 must vote back; the platform takes 16 calls a second.
 fn one_of_many(seed: u64) -> Bench {
-    let set = Settings {
-        marshals: 300,
-        revert_votes: 75,
-        advance_votes: 120,
-        platform_calls_per_s: 16.0,
-        ..settings()
-    };
+    let set =
+        Settings { marshals: 300, revert_votes: 75, advance_votes: 120, votes_per_s: 16.0, ..settings() };
     let mut entries: Vec<NodeEntry> = (0..18).map(|i| node(&format!("n{i}"), 1)).collect();
     entries.extend((0..4).map(|i| node(&format!("t{i}"), 2)));
     let mut b = Bench::seeded(seed, set, entries, 1);
--- a/crates/processor/tests/table.rs
+++ b/crates/processor/tests/table.rs
@@ -174,7 +174,7 @@
 fn settings() -> Settings {
     let class = |effect| Kind {
         latency_target: Ms(300.0),
-        latency_target_per_work: 0.0,
+        target_per_work: 0.0,
         client_timeout: Ms(1000.0),
         retry_safety: effect,
         dedup_scope: DedupScope::All,
@@ -189,7 +189,7 @@
         classes: EFFECTS.map(class).into(),
         advance_votes: 1,
         revert_votes: 1,
-        platform_calls_per_s: 100.0,
+        votes_per_s: 100.0,
         exposure_allowance: 3.0,
         exposure_window: Ms(6000.0),
         stage_cap: vec![1.0],
--- a/crates/profile/src/lib.rs
+++ b/crates/profile/src/lib.rs
@@ -188,7 +188,7 @@
     };
     Ok(Class {
         latency_target: Ms(text.aim_ms),
-        latency_target_per_work: text.aim_stretch,
+        target_per_work: text.aim_stretch,
         client_timeout: Ms(text.give_up_ms),
         retry_safety,
         dedup_scope,
@@ -231,7 +231,7 @@
         revert_votes: p.domain.votes_to_revert,
         vote_ttl: Ms(p.domain.ballot_ttl_ms),
         vote_answer_timeout: Ms(p.domain.answer_wait_ms),
-        platform_calls_per_s: p.domain.calls_per_s,
+        votes_per_s: p.domain.calls_per_s,
         min_stage_duration: Ms(p.domain.soak_ms),
         auto_advance_after: Ms(p.domain.auto_after_ms),
         metrics_period: Ms(p.domain.metrics_period_ms),
--- a/crates/trials/src/judging.rs
+++ b/crates/trials/src/judging.rs
@@ -48,7 +48,7 @@
 fn class(effect: RetrySafety) -> Class {
     Class {
         latency_target: Ms(300.0),
-        latency_target_per_work: 0.0,
+        target_per_work: 0.0,
         client_timeout: Ms(1000.0),
         retry_safety: effect,
         dedup_scope: DedupScope::All,
@@ -74,7 +74,7 @@
         revert_votes: of(0.25),
         vote_ttl: Ms(6000.0),
         vote_answer_timeout: Ms(2000.0),
-        platform_calls_per_s: 300.0,
+        votes_per_s: 300.0,
         min_stage_duration: Ms(1500.0),
         stage_report_period: Ms(4000.0),
         reported_wrong_share: 0.3,
--- a/crates/trials/src/measure.rs
+++ b/crates/trials/src/measure.rs
@@ -86,7 +86,7 @@
 fn settings(gated: bool) -> Settings {
     let class = Class {
         latency_target: Ms(300.0),
-        latency_target_per_work: 0.0,
+        target_per_work: 0.0,
         client_timeout: Ms(1000.0),
         retry_safety: RetrySafety::Idempotent,
         dedup_scope: Scope_::All,
@@ -103,7 +103,7 @@
         revert_votes: 1,
         vote_ttl: Ms(6000.0),
         vote_answer_timeout: Ms(2000.0),
-        platform_calls_per_s: 100.0,
+        votes_per_s: 100.0,
         exposure_allowance: 3.0,
         exposure_window: Ms(6000.0),
         stage_cap: vec![1.0],
