--- a/crates/control-plane/src/core/rollouts.rs
+++ b/crates/control-plane/src/core/rollouts.rs
@@ -2,11 +2,11 @@
 
 use super::{Core, Judged, Time};
 use milletwing_consensus::Role;
-use milletwing_replicated_state::{Command, RollOut, State};
+use milletwing_replicated_state::{Command, RollOut, RollOutState};
 use milletwing_sequential_test::{
     self as sequential_test, latest_advance, min_stage_duration, stage_cap, TrialReport, FINAL_STAGE,
 };
-use milletwing_wire::Peer;
+use milletwing_wire::PeerMessage;
 
 impl Core {
     /// What follows for the trials under way.
@@ -16,7 +16,7 @@
             .view
             .rollouts
             .iter()
-            .filter(|(_, roll)| roll.state == State::Active)
+            .filter(|(_, roll)| roll.state == RollOutState::Active)
             .map(|(service, roll)| (service.clone(), roll.clone()))
             .collect();
         self.trials.retain(|number, _| active.iter().any(|(_, roll)| roll.number == *number));
@@ -70,7 +70,7 @@
     pub fn trials(&self) -> serde_json::Value {
         let rows = self.view.rollouts.iter().map(|(service, roll)| {
             let judged = self.trials.get(&roll.number).filter(|_| self.role == Role::Leader);
-            serde_json::json!({"service": service, "to": roll.to, "state": roll.state.word(), "stage": roll.stage,
+            serde_json::json!({"service": service, "to": roll.to, "state": roll.state.as_str(), "stage": roll.stage,
                 "cap": stage_cap(roll.stage, self.settings.timers.guarantees.exposureShare),
                 "evidence": judged.map(|judged| judged.tally.summary())})
         });
@@ -78,16 +78,16 @@
     }
 
     /// What an edge tells of the trials: to whoever leads.
-    pub fn reports(&mut self, edge: u32, life: u64, reports: Vec<TrialReport>) {
+    pub fn reports(&mut self, edge: u32, incarnation: u64, reports: Vec<TrialReport>) {
         let now = self.now();
         if self.role == Role::Leader {
             for report in reports {
                 if let Some(trial) = self.trials.get_mut(&report.number) {
-                    trial.tally.record_report(now, edge, life, report);
+                    trial.tally.record_report(now, edge, incarnation, report);
                 }
             }
         } else if let Some(leader) = self.leader {
-            self.post(leader, &Peer::Reports { edge, life, reports });
+            self.post(leader, &PeerMessage::Reports { edge, incarnation, reports });
         }
     }
 }
--- a/crates/edge-proxy/src/tests/core_silence.rs
+++ b/crates/edge-proxy/src/tests/core_silence.rs
@@ -1,70 +1,80 @@
-//! How soon an edge leaves a core machine that says nothing, or that does not hear its leader. Each bound fails where its constant is
-//! made four times as long.
+//! How soon an edge leaves a core machine that is silent or has lost contact with its leader. Each
+//! limit fails if its constant is made four times as long.
 
 use super::{edge, run, Arrivals};
-use crate::feed::listen;
-use milletwing_wire::{frame, ToEdge};
+use crate::core_feed::listen;
+use milletwing_wire::{encode_frame, ToEdge};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{duplex, split, AsyncWriteExt, DuplexStream};
 use tokio::time::Instant;
 
-/// Between two pulses of a core machine.
-const PULSE: Duration = Duration::from_millis(200);
+/// Interval between two pulses of a core machine.
+const PULSE_INTERVAL: Duration = Duration::from_millis(200);
 
 fn pulse(fresh: bool) -> Vec<u8> {
-    frame(&ToEdge::Pulse { fresh, index: 100, cores: vec![1, 2, 3], edges: 3, loads: Vec::new() })
+    encode_frame(&ToEdge::Heartbeat {
+        leader_contact: fresh,
+        index: 100,
+        cores: vec![1, 2, 3],
+        edges: 3,
+        loads: Vec::new(),
+    })
 }
 
-/// Pulses at their pace: so many that hear the leader, then so many that don't; then nothing.
+/// Sends pulses at their normal interval: first `fresh` ones with contact to the leader, then
+/// `stale` ones without; then nothing.
 async fn core_machine(mut stream: DuplexStream, fresh: usize, stale: usize) {
-    for at in 0..fresh + stale {
-        if stream.write_all(&pulse(at < fresh)).await.is_err() {
+    for index in 0..fresh + stale {
+        if stream.write_all(&pulse(index < fresh)).await.is_err() {
             return; // the edge has left
         }
-        tokio::time::sleep(PULSE).await;
+        tokio::time::sleep(PULSE_INTERVAL).await;
     }
     std::future::pending::<()>().await;
 }
 
-/// How long an edge stays, and why it leaves.
-async fn stays(fresh: usize, stale: usize) -> (Duration, String) {
+/// How long an edge listens to the machine, and why it stops.
+async fn listen_duration(fresh: usize, stale: usize) -> (Duration, String) {
     let edge = edge(1, &Arrivals::default(), Rc::new(|_, _, _| Box::pin(async {})));
-    let (near, far) = duplex(1 << 16);
-    tokio::task::spawn_local(core_machine(far, fresh, stale));
-    let (read, write) = split(near);
-    let begun = Instant::now();
+    let (edge_end, core_end) = duplex(1 << 16);
+    tokio::task::spawn_local(core_machine(core_end, fresh, stale));
+    let (reader, writer) = split(edge_end);
+    let started = Instant::now();
     let mut cores = Vec::new();
-    let why = listen(&edge, read, write, &mut cores).await;
-    (begun.elapsed(), why)
+    let reason = listen(&edge, reader, writer, &mut cores).await;
+    (started.elapsed(), reason)
 }
 
 #[test]
-fn a_core_machine_that_says_nothing_is_left() {
+fn silent_core_machine_is_abandoned() {
     run(async {
-        let (after, why) = stays(5, 0).await;
-        assert_eq!(why, "silent");
-        // The last pulse came after four pauses.
-        let silence = after - PULSE * 4;
+        let (elapsed, reason) = listen_duration(5, 0).await;
+        assert_eq!(reason, "silent");
+        // The last pulse was sent after four intervals.
+        let silence = elapsed - PULSE_INTERVAL * 4;
         assert!(silence <= Duration::from_millis(1_000), "after {silence:?}");
-        assert!(silence >= Duration::from_millis(800), "a few late pulses are no silence: {silence:?}");
+        assert!(
+            silence >= Duration::from_millis(800),
+            "a few late pulses must not count as silence: {silence:?}"
+        );
     });
 }
 
 #[test]
-fn a_core_machine_that_does_not_hear_its_leader_is_left() {
+fn core_machine_without_leader_contact_is_abandoned() {
     run(async {
-        let (after, why) = stays(5, 100).await;
-        assert!(why.contains("does not hear its leader"), "{why}");
-        let stale = after - PULSE * 4;
+        let (elapsed, reason) = listen_duration(5, 100).await;
+        assert!(reason.contains("lost contact with its leader"), "{reason}");
+        let stale = elapsed - PULSE_INTERVAL * 4;
         assert!(stale <= Duration::from_millis(1_000), "after {stale:?}");
     });
 }
 
 #[test]
-fn a_core_machine_that_speaks_is_kept() {
+fn active_core_machine_is_kept() {
     run(async {
-        let (after, _) = stays(100, 0).await;
-        assert!(after >= PULSE * 99, "left after {after:?}");
+        let (elapsed, _) = listen_duration(100, 0).await;
+        assert!(elapsed >= PULSE_INTERVAL * 99, "left after {elapsed:?}");
     });
 }
