--- a/crates/profile/src/lib.rs
+++ b/crates/profile/src/lib.rs
@@ -1,32 +1,32 @@
-//! The settings as the users word them, turned into the decision module's own. The simulator's first message
-//! and a marshal's configuration hold the same object; both are read here.
+//! Parses the JSON settings of an instance into the settings of the decision module. The simulator's first
+//! message and a marshal's configuration hold the same object; both are parsed here.
 
 use milletwing_decision::interface::{
     Class, DedupScope, Ms, RetrySafety, Settings, StageControl, Tenant, ZoneId,
 };
 use serde::Deserialize;
 
-/// The names by which an instance's events refer to its settings.
+/// The names in an instance's events, by index: a name's position is its id in the decision module.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     /// Classes, in order.
     pub classes: Vec<String>,
     /// Tenants, in order.
     pub tenants: Vec<String>,
-    /// Zones, in order; zones met later are added.
+    /// Zones, in order; unknown zones are appended when they first appear.
     pub zones: Vec<String>,
-    /// Machine kinds, in order; kinds met later are added.
+    /// Machine kinds, in order; unknown kinds are appended when they first appear.
     pub machine_kinds: Vec<String>,
 }
 
-/// What the settings say of connections and answers: for whoever carries the decisions out.
+/// Settings for connections and answers, used by the host that carries out the decisions.
 #[derive(Clone, Copy, Debug)]
 pub struct TransportSettings {
-    /// A connection that is not up by then never comes up.
+    /// Time after which an attempt to connect counts as failed.
     pub connect_timeout: Ms,
-    /// Idle connections are closed after this.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Ms,
-    /// After a client's deadline, a final answer still counts for this long.
+    /// How long a final answer still counts after the client's deadline.
     pub late_answer_grace: Ms,
 }
 
@@ -35,7 +35,7 @@
 struct Profile {
     balancers: u32,
     me: u32,
-    classes: Vec<ClassText>,
+    classes: Vec<ClassProfile>,
     discovery: String,
     domain: Domain,
     #[serde(default)]
@@ -57,7 +57,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-struct ClassText {
+struct ClassProfile {
     name: String,
     aim_ms: f64,
     #[serde(default)]
@@ -172,14 +172,14 @@
     30_000.0
 }
 
-fn class(text: &ClassText) -> Result<Class, String> {
-    let retry_safety = match text.effect.as_str() {
+fn parse_class(class: &ClassProfile) -> Result<Class, String> {
+    let retry_safety = match class.effect.as_str() {
         "idempotent" => RetrySafety::Idempotent,
         "deduplicated" => RetrySafety::Deduplicated,
         "at_most_once" => RetrySafety::AtMostOnce,
         other => return Err(format!("classes[].effect `{other}` is unknown")),
     };
-    let dedup_scope = match text.key_scope.as_str() {
+    let dedup_scope = match class.key_scope.as_str() {
         "all" => DedupScope::All,
         "zone" => DedupScope::Zone,
         "cell" => DedupScope::Cell,
@@ -187,105 +187,109 @@
         other => return Err(format!("classes[].key-scope `{other}` is unknown")),
     };
     Ok(Class {
-        latency_target: Ms(text.aim_ms),
-        target_per_work: text.aim_stretch,
-        client_timeout: Ms(text.give_up_ms),
+        latency_target: Ms(class.aim_ms),
+        target_per_work: class.aim_stretch,
+        client_timeout: Ms(class.give_up_ms),
         retry_safety,
         dedup_scope,
-        dedup_window: Ms(text.memory_span_ms),
-        late_value: text.late_worth,
-        value: text.worth,
-        streamed: text.streamed,
+        dedup_window: Ms(class.memory_span_ms),
+        late_value: class.late_worth,
+        value: class.worth,
+        streamed: class.streamed,
     })
 }
 
-/// Reads the settings of one instance.
-pub fn parse_settings(text: &str) -> Result<(Settings, Names, TransportSettings), String> {
-    let p: Profile = serde_json::from_str(text).map_err(|problem| problem.to_string())?;
-    let control = match p.domain.decided_by.as_str() {
+/// Parses the JSON settings of one instance.
+pub fn parse_settings(json: &str) -> Result<(Settings, Names, TransportSettings), String> {
+    let profile: Profile = serde_json::from_str(json).map_err(|error| error.to_string())?;
+    let control = match profile.domain.decided_by.as_str() {
         "single" | "majority" => StageControl::Votes,
         "clocked" => StageControl::Timed,
         other => return Err(format!("domain.decided-by `{other}` is unknown")),
     };
     let transport = TransportSettings {
-        connect_timeout: Ms(p.permissions.connect_timeout_ms),
-        idle_timeout: Ms(p.permissions.keepalive_ms),
-        late_answer_grace: Ms(p.rules.grace_to_answer_ms),
+        connect_timeout: Ms(profile.permissions.connect_timeout_ms),
+        idle_timeout: Ms(profile.permissions.keepalive_ms),
+        late_answer_grace: Ms(profile.rules.grace_to_answer_ms),
     };
     let settings = Settings {
-        marshals: p.balancers,
-        marshal_index: p.me,
-        zone: p.locality.as_ref().and_then(|zone| index_of(&p.zones, zone)).map(ZoneId),
-        tick: Ms(p.tick_ms),
-        classes: p.classes.iter().map(class).collect::<Result<_, _>>()?,
-        tenants: p.projects.iter().map(|t| Tenant { share: t.share, quota_per_s: t.quota_per_s }).collect(),
-        over_share_value: p.over_share_worth,
-        subscribe_to_discovery: match p.discovery.as_str() {
+        marshals: profile.balancers,
+        marshal_index: profile.me,
+        zone: profile.locality.as_ref().and_then(|zone| index_of(&profile.zones, zone)).map(ZoneId),
+        tick: Ms(profile.tick_ms),
+        classes: profile.classes.iter().map(parse_class).collect::<Result<_, _>>()?,
+        tenants: profile
+            .projects
+            .iter()
+            .map(|tenant| Tenant { share: tenant.share, quota_per_s: tenant.quota_per_s })
+            .collect(),
+        over_share_value: profile.over_share_worth,
+        subscribe_to_discovery: match profile.discovery.as_str() {
             "pushed" => false,
             "on_request" => true,
             other => return Err(format!("discovery `{other}` is unknown")),
         },
         control,
-        hold_votes: p.domain.hold_votes,
-        advance_votes: p.domain.to_advance,
-        revert_votes: p.domain.votes_to_revert,
-        vote_ttl: Ms(p.domain.ballot_ttl_ms),
-        vote_answer_timeout: Ms(p.domain.answer_wait_ms),
-        votes_per_s: p.domain.calls_per_s,
-        min_stage_duration: Ms(p.domain.soak_ms),
-        auto_advance_after: Ms(p.domain.auto_after_ms),
-        metrics_period: Ms(p.domain.metrics_period_ms),
-        stage_report_period: Ms(p.domain.news_period_ms),
-        sampled_share: p.domain.counted_share,
-        reported_wrong_share: p.domain.found_share,
-        harm_cost: p.domain.harm_fee,
-        lag_cost: p.domain.lag_fee,
-        exposure_allowance: p.domain.allowance,
-        exposure_window: Ms(p.domain.exposure_window_ms),
-        exposure_per_class: match p.domain.per.as_str() {
+        hold_votes: profile.domain.hold_votes,
+        advance_votes: profile.domain.to_advance,
+        revert_votes: profile.domain.votes_to_revert,
+        vote_ttl: Ms(profile.domain.ballot_ttl_ms),
+        vote_answer_timeout: Ms(profile.domain.answer_wait_ms),
+        votes_per_s: profile.domain.calls_per_s,
+        min_stage_duration: Ms(profile.domain.soak_ms),
+        auto_advance_after: Ms(profile.domain.auto_after_ms),
+        metrics_period: Ms(profile.domain.metrics_period_ms),
+        stage_report_period: Ms(profile.domain.news_period_ms),
+        sampled_share: profile.domain.counted_share,
+        reported_wrong_share: profile.domain.found_share,
+        harm_cost: profile.domain.harm_fee,
+        lag_cost: profile.domain.lag_fee,
+        exposure_allowance: profile.domain.allowance,
+        exposure_window: Ms(profile.domain.exposure_window_ms),
+        exposure_per_class: match profile.domain.per.as_str() {
             "all" => false,
             "per_lane" => true,
             other => return Err(format!("domain.per `{other}` is unknown")),
         },
-        stage_cap: p.domain.stage_cap,
-        stage_share: p.domain.stage_share,
-        idempotent_only_stages: p.domain.safe_only_stages,
-        sticky_keys: p.domain.keys_stay,
-        side_by_side: match p.domain.style.as_str() {
+        stage_cap: profile.domain.stage_cap,
+        stage_share: profile.domain.stage_share,
+        idempotent_only_stages: profile.domain.safe_only_stages,
+        sticky_keys: profile.domain.keys_stay,
+        side_by_side: match profile.domain.style.as_str() {
             "side_by_side" => true,
             "rolling" => false,
             other => return Err(format!("domain.style `{other}` is unknown")),
         },
-        warm_keys: p.domain.warm_keys,
-        hedging: p.permissions.second_copies,
-        may_cancel: p.permissions.may_cancel,
-        probes: p.permissions.probes,
-        peers: p.permissions.peers,
-        retry_after: p.permissions.retry_after,
-        max_retry_after: Ms(p.permissions.max_retry_after_ms),
-        max_attempts: p.permissions.try_limit,
-        cross_zone_cost: p.prices.cross_zone,
-        wasted_work_cost: p.prices.waste,
-        late_failure_cost: p.prices.late_fail,
-        cold_start_capacity: p.rules.cold_from,
-        warmup: Ms(p.rules.cold_ms),
-        overload_multiple: p.rules.fall_multiple,
-        overload_duration: Ms(p.rules.tip_after_ms),
-        drain_grace: Ms(p.rules.drain_grace_ms),
-        discovery_deadline: Ms(p.rules.ask_within_ms),
+        warm_keys: profile.domain.warm_keys,
+        hedging: profile.permissions.second_copies,
+        may_cancel: profile.permissions.may_cancel,
+        probes: profile.permissions.probes,
+        peers: profile.permissions.peers,
+        retry_after: profile.permissions.retry_after,
+        max_retry_after: Ms(profile.permissions.max_retry_after_ms),
+        max_attempts: profile.permissions.try_limit,
+        cross_zone_cost: profile.prices.cross_zone,
+        wasted_work_cost: profile.prices.waste,
+        late_failure_cost: profile.prices.late_fail,
+        cold_start_capacity: profile.rules.cold_from,
+        warmup: Ms(profile.rules.cold_ms),
+        overload_multiple: profile.rules.fall_multiple,
+        overload_duration: Ms(profile.rules.tip_after_ms),
+        drain_grace: Ms(profile.rules.drain_grace_ms),
+        discovery_deadline: Ms(profile.rules.ask_within_ms),
         group_decisions: false,
         require_permits: false,
     };
     let names = Names {
-        classes: p.classes.into_iter().map(|c| c.name).collect(),
-        tenants: p.projects.into_iter().map(|t| t.name).collect(),
-        zones: p.zones,
-        machine_kinds: p.flavors,
+        classes: profile.classes.into_iter().map(|class| class.name).collect(),
+        tenants: profile.projects.into_iter().map(|tenant| tenant.name).collect(),
+        zones: profile.zones,
+        machine_kinds: profile.flavors,
     };
     Ok((settings, names, transport))
 }
 
-/// A name's place in a list.
+/// The index of a name in a list.
 pub fn index_of(list: &[String], name: &str) -> Option<u32> {
-    list.iter().position(|entry| entry == name).and_then(|at| u32::try_from(at).ok())
+    list.iter().position(|entry| entry == name).and_then(|index| u32::try_from(index).ok())
 }
