--- a/crates/decision/tests/decisions/common.rs
+++ b/crates/decision/tests/decisions/common.rs
@@ -1,4 +1,4 @@
-//! A small site for tests through the interface.
+//! A harness and default settings for tests through the public interface.
 
 use milletwing_decision::interface::*;
 use milletwing_decision::Marshal;
@@ -18,7 +18,7 @@
     }
 }
 
-/// Three classes (safe, keyed, unsafe), one marshal, four stages.
+/// Three classes (idempotent, deduplicated, at most once), one marshal, four stages.
 pub fn settings() -> Settings {
     Settings {
         marshals: 1,
@@ -57,11 +57,11 @@
     NodeEntry { node: NodeId(Arc::from(name)), build: Build(build), weight: 1.0, ..NodeEntry::default() }
 }
 
-pub fn id(name: &str) -> RequestId {
+pub fn request_id(name: &str) -> RequestId {
     RequestId(Arc::from(name))
 }
 
-pub fn news(build: u32, stage: u32, phase: Phase, cap: f64) -> Event {
+pub fn stage_report(build: u32, stage: u32, phase: Phase, cap: f64) -> Event {
     Event::StageReport(StageReport {
         answers_vote: false,
         outcome: Outcome::Ok,
@@ -73,51 +73,52 @@
     })
 }
 
-/// A marshal with a clock, its timers and a count of names.
-pub struct Bench {
+/// A marshal with a simulated clock and timer, a record of its actions, and a counter for request ids.
+pub struct Harness {
     pub marshal: Marshal,
     pub now: f64,
-    pub log: Vec<Action>,
-    alarm: f64,
-    count: u64,
+    pub actions: Vec<Action>,
+    timer_due: f64,
+    request_count: u64,
 }
 
-impl Bench {
-    pub fn new(set: Settings, entries: Vec<NodeEntry>, build: u32) -> Bench {
-        Bench::seeded(7, set, entries, build)
+impl Harness {
+    pub fn new(config: Settings, entries: Vec<NodeEntry>, build: u32) -> Harness {
+        Harness::seeded(7, config, entries, build)
     }
-    pub fn seeded(seed: u64, set: Settings, entries: Vec<NodeEntry>, build: u32) -> Bench {
-        let marshal = Marshal::new(set, seed);
-        let mut bench = Bench { marshal, now: 1000.0, log: Vec::new(), alarm: f64::MAX, count: 0 };
-        bench.give(Event::Start);
-        bench.give(Event::FleetUpdate(FleetUpdateKind::Restored, entries));
-        bench.give(news(build, 3, Phase::Released, 1.0));
-        bench
+    pub fn seeded(seed: u64, config: Settings, entries: Vec<NodeEntry>, build: u32) -> Harness {
+        let marshal = Marshal::new(config, seed);
+        let mut harness =
+            Harness { marshal, now: 1000.0, actions: Vec::new(), timer_due: f64::MAX, request_count: 0 };
+        harness.handle(Event::Start);
+        harness.handle(Event::FleetUpdate(FleetUpdateKind::Restored, entries));
+        harness.handle(stage_report(build, 3, Phase::Released, 1.0));
+        harness
     }
-    pub fn give(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.marshal.handle(Ms(self.now), event, &mut out);
         for action in &out {
             if let Action::SetTimer(_, at) = action {
-                self.alarm = at.0;
+                self.timer_due = at.0;
             }
         }
-        self.log.extend(out.iter().cloned());
+        self.actions.extend(out.iter().cloned());
         out
     }
-    /// Moves the clock on and delivers due alarms.
-    pub fn pass(&mut self, ms: f64) {
-        self.now += ms;
-        if self.now >= self.alarm {
-            self.give(Event::Timer("beat".into()));
+    /// Advances the clock and delivers the timer if it is due.
+    pub fn advance(&mut self, latency: f64) {
+        self.now += latency;
+        if self.now >= self.timer_due {
+            self.handle(Event::Timer("beat".into()));
         }
     }
-    pub fn ask(&mut self, class: usize) -> (RequestId, Vec<Action>) {
-        self.ask_keyed(class, None)
+    pub fn request(&mut self, class: usize) -> (RequestId, Vec<Action>) {
+        self.request_with_key(class, None)
     }
-    pub fn ask_keyed(&mut self, class: usize, key: Option<Key>) -> (RequestId, Vec<Action>) {
-        self.count += 1;
-        let id = id(&format!("q{}", self.count));
+    pub fn request_with_key(&mut self, class: usize, key: Option<Key>) -> (RequestId, Vec<Action>) {
+        self.request_count += 1;
+        let id = request_id(&format!("q{}", self.request_count));
         let event = Event::Request {
             id: id.clone(),
             class: ClassId(class),
@@ -127,48 +128,48 @@
             work_hint: None,
             is_retry: false,
         };
-        let out = self.give(event);
+        let out = self.handle(event);
         (id, out)
     }
-    pub fn end(
+    pub fn complete(
         &mut self,
         id: &RequestId,
-        copy: u32,
+        attempt: u32,
         node: &NodeId,
-        verdict: Outcome,
-        ms: f64,
+        outcome: Outcome,
+        latency: f64,
     ) -> Vec<Action> {
-        self.give(Event::Completed {
+        self.handle(Event::Completed {
             id: id.clone(),
-            attempt: copy,
+            attempt,
             node: node.clone(),
-            outcome: verdict,
-            latency: Ms(ms),
-            is_final: verdict == Outcome::Ok,
+            outcome,
+            latency: Ms(latency),
+            is_final: outcome == Outcome::Ok,
             load: None,
         })
     }
-    /// One request, answered at once as `answer` says for its node and class.
+    /// Sends one request; `answer` gives the outcome and latency of each attempt by its node.
     pub fn serve(&mut self, class: usize, answer: impl Fn(&NodeId) -> (Outcome, f64)) {
-        let (id, mut out) = self.ask(class);
-        let mut copy = 0;
-        while let Some(node) = sent(&out) {
-            let (verdict, ms) = answer(&node);
-            out = self.end(&id, copy, &node, verdict, ms);
-            if verdict == Outcome::Ok {
+        let (id, mut out) = self.request(class);
+        let mut attempt = 0;
+        while let Some(node) = attempted_node(&out) {
+            let (outcome, latency) = answer(&node);
+            out = self.complete(&id, attempt, &node, outcome, latency);
+            if outcome == Outcome::Ok {
                 return;
             }
-            copy += 1;
+            attempt += 1;
         }
     }
-    pub fn cast(&self, build: u32, wanted: Vote) -> bool {
-        self.log
-            .iter()
-            .any(|a| matches!(a, Action::CastVote { build: b, vote, .. } if b.0 == build && *vote == wanted))
+    pub fn has_cast(&self, build: u32, expected: Vote) -> bool {
+        self.actions.iter().any(
+            |a| matches!(a, Action::CastVote { build: of, vote, .. } if of.0 == build && *vote == expected),
+        )
     }
 }
 
-pub fn sent(out: &[Action]) -> Option<NodeId> {
+pub fn attempted_node(out: &[Action]) -> Option<NodeId> {
     out.iter().find_map(|a| match a {
         Action::Attempt { node, .. } => Some(node.clone()),
         _ => None,
--- a/crates/decision/tests/decisions/limits.rs
+++ b/crates/decision/tests/decisions/limits.rs
@@ -1,4 +1,4 @@
-//! The module stays readable in an hour.
+//! Limits on the size of the policy files, so that they stay readable within an hour.
 
 const MODULE: [(&str, &str); 7] = [
     ("policy", include_str!("../../src/policy.rs")),
@@ -12,7 +12,7 @@
 const DEPLOY: &str = include_str!("../../../../deploy/balancer.toml");
 
 #[test]
-fn the_module_keeps_its_line_limits() {
+fn the_policy_files_keep_their_line_limits() {
     let lines =
         MODULE.iter().flat_map(|(_, text)| text.lines()).filter(|line| !line.trim().is_empty()).count();
     assert!(lines <= 860, "{lines} lines that are not blank");
@@ -23,7 +23,7 @@
         assert!(!text.contains("rustfmt::skip"));
         assert!(DEPLOY.contains(&format!("{name}.rs")), "{name} is not among the deploy file's policy");
     }
-    // A file that is not listed is not counted.
+    // Every module of the policy is listed above; a file that is not listed would not be counted.
     let listed = MODULE[0].1.lines().filter(|line| line.starts_with("mod ")).count();
     assert_eq!(listed + 1, MODULE.len());
     assert!(MODULE[0].1.lines().take(5).any(|line| line.contains("interface.rs")));
--- a/crates/decision/tests/decisions/main.rs
+++ b/crates/decision/tests/decisions/main.rs
@@ -1,9 +1,9 @@
-//! Tests of the decision module through its interface, bench-free.
+//! Tests of the decision module through its public interface.
 
 mod common;
-mod gated;
-mod judging;
+mod evidence;
+mod group_decisions;
 mod limits;
+mod many_marshals;
+mod permits;
 mod rules;
-mod shared;
-mod thin;
