--- a/crates/consensus/src/member.rs
+++ b/crates/consensus/src/member.rs
@@ -142,7 +142,7 @@
     match_round: u64,
     /// The snapshot being sent, and how many of its bytes have arrived.
     snapshot_progress: (LogPosition, u64),
-    /// The peer has been sent a chunk of a snapshot and has not caught up to it yet.
+    /// The peer has been sent a chunk of a snapshot and does not hold the snapshot's entries yet.
     installing: bool,
 }
 
@@ -284,7 +284,8 @@
                 _ => member.hard_state.disk_lost = true,
             }
         }
-        // A disk without members cannot be resumed from: the only replicas to query are the seed peers.
+        // A disk without a log names no members. There is nothing to resume from, and only the seed peers can
+        // be queried.
         if !member.hard_state.disk_lost && member.members.is_empty() {
             (member.hard_state.disk_lost, member.hard_state.catch_up_target, member.hard_state_dirty) =
                 (true, None, true);
@@ -336,7 +337,7 @@
     /// more at its start than its disk held.
     pub fn catch_up_target(&self) -> Option<LogPosition> {
         match self.startup {
-            Startup::CatchingUp(most) => Some(most),
+            Startup::CatchingUp(target) => Some(target),
             Startup::Querying(_) | Startup::Confirmed => None,
         }
     }
@@ -351,17 +352,19 @@
     pub fn first_index(&self) -> u64 {
         self.log.first_index()
     }
+
     /// The stored snapshot, from which the application state is restored at startup.
     pub fn snapshot(&self) -> &Snapshot {
         &self.log.snapshot
     }
 
-    /// Whether the replica is a member that holds everything it ever helped to acknowledge. Only then may it start
-    /// elections and count its own copies of entries.
+    /// Whether the replica is a member that holds everything it ever helped to acknowledge. Only then may it
+    /// start elections and count its own copies of entries.
     fn is_complete_member(&self) -> bool {
         self.has_complete_state() && self.members.contains(&self.options.id)
     }
 
+    /// Whether this many members are a majority.
     fn is_majority(&self, count: usize) -> bool {
         !self.members.is_empty() && count * 2 > self.members.len()
     }
--- a/crates/consensus/src/member/election.rs
+++ b/crates/consensus/src/member/election.rs
@@ -46,8 +46,7 @@
         }
     }
 
-    /// Starts the real election once a majority has granted the pre-vote, or becomes leader once it has elected
-    /// this replica.
+    /// Acts on a majority of votes: a pre-candidate starts the real election, a candidate becomes leader.
     pub(super) fn check_election(&mut self, now: Millis) {
         if !self.is_majority(self.votes.len()) {
             return;
@@ -97,8 +96,8 @@
         pre_vote: bool,
         last: LogPosition,
     ) {
-        // A leader that still sends heartbeats is not replaced, so that a returning replica does not disrupt
-        // the others.
+        // A pre-vote is refused while a leader still sends heartbeats, so that a returning replica does not
+        // disrupt the others.
         let has_leader = self.leader.is_some()
             && now.saturating_sub(self.last_leader_contact) < self.options.election_timeout;
         let is_active_leader =
--- a/crates/consensus/src/member/membership.rs
+++ b/crates/consensus/src/member/membership.rs
@@ -74,29 +74,31 @@
         if self.role != Role::Leader {
             return;
         }
-        let (election, last) = (self.options.election_timeout, self.log.last_position().1);
+        let (election_timeout, last) = (self.options.election_timeout, self.log.last_position().1);
         let peers = &self.peers;
         let last_heard = |id: &MemberId| peers.get(id).map_or(0, |peer| peer.last_heard);
-        self.learners
-            .retain(|id, _| now.saturating_sub(last_heard(id)) <= LEARNER_TIMEOUT_ELECTIONS * election);
-        let mut ready = None;
+        self.learners.retain(|id, _| {
+            now.saturating_sub(last_heard(id)) <= LEARNER_TIMEOUT_ELECTIONS * election_timeout
+        });
+        let mut promotable = None;
         for (id, learner) in &mut self.learners {
             // A learner that held the log may have stopped since.
-            let is_healthy =
-                |peer: &&Progress| peer.quorum_eligible && now.saturating_sub(peer.last_heard) <= election;
+            let is_healthy = |peer: &&Progress| {
+                peer.quorum_eligible && now.saturating_sub(peer.last_heard) <= election_timeout
+            };
             let Some(peer) = peers.get(id).filter(is_healthy) else { continue };
             if peer.match_index < learner.target {
                 continue;
             }
             // A new member must not still have a long way to go: its last catch-up round took at most an
             // election timeout.
-            if now.saturating_sub(learner.since) <= election {
-                ready = Some(*id);
+            if now.saturating_sub(learner.since) <= election_timeout {
+                promotable = Some(*id);
             } else {
                 *learner = Learner { target: last, since: now };
             }
         }
-        if let Some(id) = ready {
+        if let Some(id) = promotable {
             let mut members = self.members.clone();
             members.push(id);
             members.sort_unstable();
@@ -158,8 +160,8 @@
         members.iter().filter(is_healthy).count()
     }
 
-    /// How many more members may be lost right now so that the remaining majority still holds everything.
-    /// Only the leader knows.
+    /// How many more members may be lost right now while a majority that holds everything remains. Only the
+    /// leader knows.
     pub fn further_losses(&self, now: Millis) -> Option<usize> {
         let leads =
             self.role == Role::Leader && self.has_quorum_contact(now, 2 * self.options.election_timeout);
--- a/crates/consensus/src/member/message.rs
+++ b/crates/consensus/src/member/message.rs
@@ -8,15 +8,16 @@
 #[allow(missing_docs)] // the doc comment of each variant describes its fields
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Requests a vote in a term. With `pre_vote` it only asks whether the vote would be granted, and the
-    /// answer promises nothing.
+    /// Requests a vote in a term, for a candidate whose log ends at `last`. With `pre_vote` it only asks
+    /// whether the vote would be granted, and the answer promises nothing.
     RequestVote { term: u64, pre_vote: bool, last: LogPosition },
     /// Answers `RequestVote`.
     VoteResponse { term: u64, pre_vote: bool, granted: bool },
-    /// A leader's entries after `previous`, or a heartbeat without entries. The response repeats `round`.
+    /// A leader's entries after `previous`, or a heartbeat without entries, and the leader's commit index. The
+    /// response repeats `round`.
     AppendEntries { term: u64, previous: LogPosition, entries: Vec<Entry>, commit: u64, round: u64 },
     /// Answers `AppendEntries`: the index up to which the follower holds the leader's entries on disk, or
-    /// after a rejection the index from which the leader should retry. `quorum_eligible` says whether the
+    /// after a rejection the index after which the leader should retry. `quorum_eligible` says whether the
     /// follower may be counted for a majority.
     AppendResponse { term: u64, accepted: bool, match_index: u64, round: u64, quorum_eligible: bool },
     /// A chunk of a snapshot, sent in place of entries that the leader no longer has: the position and
@@ -39,8 +40,8 @@
     /// Tells a follower that its disk no longer holds entries that it acknowledged to this leader: the disk
     /// was rolled back to an earlier state, and must be treated as lost.
     DistrustDisk { term: u64 },
-    /// Asks for the receiver's state, after a start or a loss of the disk. `query_id` is drawn at random at
-    /// the start.
+    /// Asks for the receiver's state, after a start or a loss of the disk. `query_id` is drawn at random when
+    /// the recovery begins.
     QueryState { query_id: u64 },
     /// Answers `QueryState`. `integrity` says how far the reported state can be relied on.
     StateReport {
--- a/crates/consensus/src/member/recovery.rs
+++ b/crates/consensus/src/member/recovery.rs
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Queries a replica that has just sent a query itself, if its report is still missing: it may not have been
-    /// running when this replica last asked.
+    /// Queries a replica that has just sent a query itself, if its report is still missing: it may not have
+    /// been running when this replica last asked.
     pub(super) fn query_back(&mut self, from: MemberId) {
         let awaits_report = !self.hard_state.disk_lost && matches!(self.startup, Startup::Querying(_));
         if awaits_report && !self.state_reports.contains_key(&from) {
@@ -182,7 +182,8 @@
         self.hard_state.voted_for = Some(0);
         self.hard_state.catch_up_target = Some(target);
         self.hard_state_dirty = true;
-        // The required position is part of the hard state from now on, so the start needs no other confirmation.
+        // The required position is part of the hard state from now on, so the start needs no other
+        // confirmation.
         self.startup = Startup::Confirmed;
         // Empty if the disk is empty. The entries or the snapshot that a leader sends will name the members.
         self.members = self.log.members();
--- a/crates/consensus/tests/put_back.rs
+++ b/crates/consensus/tests/put_back.rs
@@ -51,8 +51,8 @@
     of.iter().map(|id| (*id, cluster.replicas[id].disk.clone())).collect()
 }
 
-/// Cuts the power of all replicas and rolls the disks of `rolled_back` back. The replicas in `order` start one after
-/// the other, all others stay down.
+/// Cuts the power of all replicas and replaces the disks listed in `rolled_back` by earlier copies. The
+/// replicas in `order` start one after the other, all others stay down.
 fn restart(cluster: &mut Cluster, rolled_back: &[(MemberId, Disk)], order: &[MemberId]) {
     let all: Vec<MemberId> = cluster.replicas.keys().copied().collect();
     for id in &all {
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -212,7 +212,7 @@
     }
 }
 
-/// Runs an operation in which the library may panic because the file's bytes are not its own. A panic is
+/// Runs an operation in which the library may panic if it did not write the file's bytes itself. A panic is
 /// reported as corruption.
 fn catch_panic<T>(run: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
     let hook = std::panic::take_hook();
