--- a/crates/drift-detection/src/check.rs
+++ b/crates/drift-detection/src/check.rs
@@ -1,73 +1,73 @@
-//! Holds what an edge says it routes by against what the core's entries make of it, as of the same entry. Each machine of
-//! the core checks the edges that it tells; all of them fold the same entries.
+//! Compares the routing state that an edge reports with the one that the core derives from the same log entry. Each core machine
+//! checks the edges that are connected to it; all core machines apply the same entries.
 
 use crate::digest::{Digest, Part};
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What an edge routes by, as of an entry.
+/// The digest of the routing state of an edge, as of a log entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableDigest {
-    /// The last entry that it has folded.
+    /// The last log entry that the edge has applied.
     pub index: u64,
-    /// The digest of its tables in use.
+    /// The digest of the tables it routes with.
     pub digest: Digest,
 }
 
-/// A decision, as the core checks it.
+/// A routing decision that an edge reports to be checked by the core.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sample {
-    /// The configuration by which it was made.
+    /// The revision of the configuration with which it was made.
     pub revision: u64,
-    /// The request's attempt id.
+    /// The attempt id of the request.
     pub attempt: String,
-    /// Its `Host`.
+    /// The `Host` of the request.
     pub host: String,
-    /// Its path.
+    /// The path of the request.
     pub path: String,
-    /// The route that it was given.
+    /// The name of the route that matched.
     pub route: String,
-    /// The service that was drawn.
+    /// The service that was chosen.
     pub service: String,
-    /// The marshal's life that it went to.
+    /// The id of the marshal that received the request.
     pub marshal: String,
 }
 
-/// What is found of an edge.
+/// The result of checking an edge.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Finding {
-    /// It routes by what was agreed.
+    /// The edge routes by the committed state.
     InSync,
-    /// It is a little behind, as it may be.
+    /// The edge is behind, but within the allowed lag.
     Lagging,
-    /// It routes by what was agreed before, for longer than it may.
+    /// The edge has routed by an earlier state for longer than the allowed lag.
     Stale,
-    /// As of the same entry it routes by something else, in these parts.
+    /// As of the same entry, the state of the edge differs in these parts.
     Mismatch(Vec<Part>),
-    /// It has folded what was never agreed.
+    /// The edge has applied an entry that was never committed.
     Ahead,
-    /// It says that it lives, and nothing of what it routes by.
+    /// The edge sends heartbeats without reporting its routing state.
     Stuck,
-    /// A decision of its own contradicts what it says it routes by.
+    /// A decision of the edge contradicts the routing state it reports.
     Contradiction(String),
 }
 
 impl Finding {
-    /// Whether it is drift.
+    /// Whether the finding is drift.
     pub fn is_drift(&self) -> bool {
         !matches!(self, Finding::InSync | Finding::Lagging)
     }
 
-    /// For operators.
+    /// Describes the finding for operators.
     pub fn describe(&self) -> String {
         match self {
             Finding::InSync => "well".into(),
             Finding::Lagging => "lags".into(),
             Finding::Stale => "older".into(),
             Finding::Mismatch(parts) => {
-                let words: Vec<&str> = parts.iter().map(|part| part.as_str()).collect();
-                format!("partial: {}", words.join(", "))
+                let names: Vec<&str> = parts.iter().map(|part| part.as_str()).collect();
+                format!("partial: {}", names.join(", "))
             }
             Finding::Ahead => "too new".into(),
             Finding::Stuck => "stuck".into(),
@@ -76,139 +76,151 @@
     }
 }
 
-/// The core's own digests kept: at five a second as many as cover every lag that is allowed.
-const KEPT: usize = 128;
+/// The number of digests of the core that are kept. At five per second they cover every allowed lag.
+const MAX_CORE_DIGESTS: usize = 128;
 
-/// Milliseconds without a beat after which an edge is out of touch.
-const SILENT: Millis = 1_500;
+/// The time without a heartbeat after which an edge counts as unreachable.
+const SILENCE_TIMEOUT_MS: Millis = 1_500;
 
-struct Own {
+/// The digest of the core as of a log entry.
+struct CoreDigest {
     index: u64,
-    at: Millis,
+    recorded_at: Millis,
     digest: Digest,
 }
 
-struct Told {
+/// An edge that is connected to this machine.
+struct EdgeRecord {
     incarnation: u64,
-    /// When it reflected last, or was first heard after a silence.
-    at: Millis,
-    /// When it was heard last, and since when this machine tells it.
-    heard: Millis,
-    attached: Millis,
+    /// When the edge last reported its routing state, or was first heard after a silence.
+    reported_at: Millis,
+    /// When the edge was last heard.
+    heard_at: Millis,
+    /// Since when the edge has been connected and able to follow.
+    attached_at: Millis,
 }
 
-/// One core machine's checks of the edges that it tells.
+/// The checks of one core machine of the edges that are connected to it.
 pub struct Checker {
-    /// Milliseconds that an edge may be behind.
-    lag: Millis,
-    own: VecDeque<Own>,
-    edges: BTreeMap<u32, Told>,
-    /// Digests compared.
+    /// The time that an edge may be behind.
+    max_lag: Millis,
+    core_digests: VecDeque<CoreDigest>,
+    edges: BTreeMap<u32, EdgeRecord>,
+    /// The number of digests compared.
     pub checked: u64,
-    /// Those of them that differed.
+    /// The number of digests that differed.
     pub differed: u64,
 }
 
 impl Checker {
-    /// Of edges that may be behind for so long.
-    pub fn new(lag: Millis) -> Checker {
-        Checker { lag, own: VecDeque::new(), edges: BTreeMap::new(), checked: 0, differed: 0 }
+    /// Creates a checker of edges that may be behind for up to `max_lag`.
+    pub fn new(max_lag: Millis) -> Checker {
+        Checker { max_lag, core_digests: VecDeque::new(), edges: BTreeMap::new(), checked: 0, differed: 0 }
     }
 
-    /// The last entry that the core's own digest was made of.
+    /// Returns the log entry of the latest core digest.
     pub fn last_index(&self) -> Option<u64> {
-        self.own.back().map(|own| own.index)
+        self.core_digests.back().map(|entry| entry.index)
     }
 
-    /// The core's own digest as of an entry, without the parts that are an edge's own.
+    /// Records the digest of the core as of a log entry, without the parts that are specific to an edge.
     pub fn record_core_digest(&mut self, now: Millis, index: u64, digest: Digest) {
         if self.last_index().is_none_or(|last| last < index) {
-            self.own.push_back(Own { index, at: now, digest });
+            self.core_digests.push_back(CoreDigest { index, recorded_at: now, digest });
         }
-        if self.own.len() > KEPT {
-            self.own.pop_front();
+        if self.core_digests.len() > MAX_CORE_DIGESTS {
+            self.core_digests.pop_front();
         }
     }
 
-    /// The core's own digest as of an entry, if it is kept.
+    /// Returns the digest of the core as of a log entry, if it is kept.
     pub fn core_digest(&self, index: u64) -> Option<&Digest> {
-        self.own.iter().rev().find(|own| own.index == index).map(|own| &own.digest)
+        self.core_digests.iter().rev().find(|entry| entry.index == index).map(|entry| &entry.digest)
     }
 
-    /// An edge is told by this machine from now on, or no more.
+    /// Records that an edge is connected to this machine from now on.
     pub fn attach(&mut self, now: Millis, edge: u32, incarnation: u64) {
-        self.edges.insert(edge, Told { incarnation, at: now, heard: now, attached: now });
+        self.edges
+            .insert(edge, EdgeRecord { incarnation, reported_at: now, heard_at: now, attached_at: now });
     }
 
-    /// An edge was heard, and has folded so much. After a silence it has its time anew: it was frozen, or cut off. `fresh`: this
-    /// machine hears its leader.
-    pub fn record_heartbeat(&mut self, now: Millis, edge: u32, index: u64, fresh: bool) -> Option<Finding> {
+    /// Records a heartbeat of an edge that has applied the log up to `index`. After a silence the allowed lag starts anew, since
+    /// the edge was suspended or disconnected. `leader_contact` tells whether this machine hears its leader.
+    pub fn record_heartbeat(
+        &mut self,
+        now: Millis,
+        edge: u32,
+        index: u64,
+        leader_contact: bool,
+    ) -> Option<Finding> {
         let last = self.last_index();
-        let told = self.edges.get_mut(&edge)?;
-        let anew = now.saturating_sub(told.heard) > SILENT;
-        told.heard = now;
-        // Guards against naming edges of a machine that itself is behind, or has just come up: an edge says what it routes by
-        // when both stand at the same entry.
-        if anew || !fresh || last != Some(index) {
-            told.at = now;
+        let record = self.edges.get_mut(&edge)?;
+        let was_silent = now.saturating_sub(record.heard_at) > SILENCE_TIMEOUT_MS;
+        record.heard_at = now;
+        // An edge reports its routing state when it and this machine are at the same entry. A machine that is behind or has just
+        // started must not blame its edges.
+        if was_silent || !leader_contact || last != Some(index) {
+            record.reported_at = now;
         }
-        if anew || !fresh {
-            told.attached = now;
+        if was_silent || !leader_contact {
+            record.attached_at = now;
         }
-        let over = |at: Millis| now.saturating_sub(at) > self.lag;
-        let next = self.own.iter().find(|own| own.index > index);
-        (over(told.attached) && next.is_some_and(|next| over(next.at))).then_some(Finding::Stale)
+        let exceeds_lag = |since: Millis| now.saturating_sub(since) > self.max_lag;
+        let next = self.core_digests.iter().find(|digest| digest.index > index);
+        (exceeds_lag(record.attached_at) && next.is_some_and(|next| exceeds_lag(next.recorded_at)))
+            .then_some(Finding::Stale)
     }
 
-    /// An edge is no longer told by this machine: it may be elsewhere, which is for others to say.
+    /// Records that an edge is no longer connected to this machine. It may be connected to another one, which then checks it.
     pub fn detach(&mut self, edge: u32, incarnation: u64) {
-        if self.edges.get(&edge).is_some_and(|told| told.incarnation == incarnation) {
+        if self.edges.get(&edge).is_some_and(|record| record.incarnation == incarnation) {
             self.edges.remove(&edge);
         }
     }
 
-    /// What an edge says it routes by. `wanted`: the core's digest for that edge, as of the entry that the edge names, where
-    /// it is kept. `fresh`: this machine hears its leader, so that what it has folded is what there is.
+    /// Checks the routing state that an edge reports. `expected` is the digest of the core for that edge as of the reported entry,
+    /// if it is kept. `leader_contact` tells whether this machine hears its leader and therefore has all committed entries.
     pub fn check(
         &mut self,
         now: Millis,
         edge: u32,
         table_digest: &TableDigest,
-        wanted: Option<Digest>,
-        fresh: bool,
+        expected: Option<Digest>,
+        leader_contact: bool,
     ) -> Finding {
-        if let Some(told) = self.edges.get_mut(&edge) {
-            told.at = now;
+        if let Some(record) = self.edges.get_mut(&edge) {
+            record.reported_at = now;
         }
-        if let Some(wanted) = wanted {
+        if let Some(expected) = expected {
             self.checked += 1;
-            let parts = wanted.differing_parts(&table_digest.digest);
+            let parts = expected.differing_parts(&table_digest.digest);
             self.differed += u64::from(!parts.is_empty());
             if !parts.is_empty() {
                 return Finding::Mismatch(parts);
             }
         }
-        let Some(last) = self.own.back() else { return Finding::Lagging };
+        let Some(last) = self.core_digests.back() else { return Finding::Lagging };
         if table_digest.index > last.index {
-            // Guards against naming an edge that was told by another machine which is ahead of this one.
-            let settled = fresh && now.saturating_sub(last.at) > self.lag;
-            return if settled { Finding::Ahead } else { Finding::Lagging };
+            // The edge may have been connected to another machine that is ahead of this one.
+            let caught_up = leader_contact && now.saturating_sub(last.recorded_at) > self.max_lag;
+            return if caught_up { Finding::Ahead } else { Finding::Lagging };
         }
-        // Whether it is behind its beats tell.
-        if wanted.is_some() {
+        // Whether the edge is behind is decided by its heartbeats.
+        if expected.is_some() {
             Finding::InSync
         } else {
             Finding::Lagging
         }
     }
 
-    /// Edges that have said nothing of what they route by for longer than they may.
+    /// Returns the edges that have not reported their routing state for longer than allowed, each with its incarnation.
     pub fn unreporting_edges(&self, now: Millis) -> Vec<(u32, u64)> {
-        let over = self.lag + 2_000;
-        let silent = self.edges.iter().filter(|(_, told)| {
-            // Guards against naming one that is not heard at all: of that nothing is known.
-            now.saturating_sub(told.heard) <= SILENT && now.saturating_sub(told.at) > over
+        let limit = self.max_lag + 2_000;
+        let unreporting = self.edges.iter().filter(|(_, record)| {
+            // An edge that is not heard at all is excluded, since nothing is known of it.
+            now.saturating_sub(record.heard_at) <= SILENCE_TIMEOUT_MS
+                && now.saturating_sub(record.reported_at) > limit
         });
-        silent.map(|(edge, told)| (*edge, told.incarnation)).collect()
+        unreporting.map(|(edge, record)| (*edge, record.incarnation)).collect()
     }
 }
--- a/crates/drift-detection/src/lib.rs
+++ b/crates/drift-detection/src/lib.rs
@@ -1,6 +1,10 @@
-//! Whether an edge routes by what the core agreed. `digest` is what one routes by, in a few bytes; `check` holds an edge's
-//! against the core's own and says what is wrong; `repair` decides, where the core leads, how an edge is brought back. No I/O:
-//! time is handed in.
+//! Detects and repairs drift: an edge whose routing state is not what the core has committed.
+//!
+//! - [`digest`] summarizes a routing state in a few bytes.
+//! - [`check`] compares the digest of an edge with that of the core and classifies the difference.
+//! - [`repair`] decides, on the leader of the core, how an edge is repaired.
+//!
+//! This crate performs no I/O; callers pass the current time.
 
 pub mod check;
 pub mod digest;
@@ -10,5 +14,5 @@
 pub use digest::{Digest, LeafHashes, LeafSink, Part};
 pub use repair::{RepairOrder, Repairer, Step};
 
-/// Milliseconds of a steady clock that is the user's.
+/// Milliseconds of a monotonic clock of the caller.
 pub type Millis = u64;
--- a/crates/drift-detection/src/repair.rs
+++ b/crates/drift-detection/src/repair.rs
@@ -1,29 +1,29 @@
-//! How a drifted edge is brought back: step by step, each on the core's record before it is done, never more edges at once
-//! than the rest can carry, never the last of a zone. Where most are found to have drifted it is the core that is wrong: then
-//! nothing is done but to say so.
+//! Decides how drifted edges are repaired. Repair proceeds in steps, each of which is committed to the log before it is executed.
+//! No more edges are taken out of service at once than the others can replace, and never the last one of a zone. If most edges seem
+//! to have drifted, the fault is with the core: then no edge is repaired, and an alarm is raised.
 
 use crate::check::Finding;
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What an edge is told to do.
+/// A repair step: what an edge is told to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Step {
-    /// It is well again: it takes its part.
+    /// The edge is in sync again and returns to service.
     Back,
-    /// It is sent again what it lacks.
+    /// The entries that the edge lacks are sent again.
     Again,
-    /// It is sent the whole state, and makes its tables anew.
+    /// The edge receives the whole state and rebuilds its tables.
     Renew,
-    /// It leaves the directory and isn't ready, until it is well; what it has taken it finishes.
+    /// The edge leaves the directory and is not ready until it is in sync. It completes the requests it has accepted.
     Rest,
-    /// It ends in order; the platform starts it again.
+    /// The edge shuts down gracefully, and the platform restarts it.
     End,
 }
 
 impl Step {
-    /// For operators.
+    /// The name of the step, as operators see it.
     pub fn as_str(self) -> &'static str {
         match self {
             Step::Back => "back",
@@ -35,60 +35,61 @@
     }
 }
 
-/// A step that is to be entered.
+/// A repair step that is to be committed to the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RepairOrder {
-    /// The edge.
+    /// The id of the edge.
     pub edge: u32,
-    /// Its life.
+    /// The incarnation of the edge.
     pub incarnation: u64,
-    /// What it is to do.
+    /// What the edge is to do.
     pub step: Step,
-    /// Why.
+    /// The reason.
     pub why: String,
 }
 
-/// How an edge stands.
+/// What is known about the drift of an edge.
 #[derive(Clone, Debug)]
 pub struct EdgeStanding {
-    /// Its life.
+    /// The incarnation of the edge.
     pub incarnation: u64,
-    /// Its zone.
+    /// The zone of the edge.
     pub zone: String,
-    /// What was found last.
+    /// The latest finding.
     pub finding: Finding,
-    /// When that was.
+    /// The time of the latest finding.
     pub at: Millis,
-    /// Since when it has drifted.
+    /// Since when the edge has drifted.
     pub since: Option<Millis>,
-    /// The last step taken, and when.
+    /// The last repair step and its time.
     pub step: Option<(Step, Millis)>,
 }
 
-/// Milliseconds between two steps with one edge.
-const PAUSE: Millis = 1_500;
-/// Milliseconds that an edge rests before it is ended.
-const RESTS: Millis = 6_000;
-/// Milliseconds between the ends of two edges.
-const ENDS: Millis = 30_000;
-/// What was found longer ago than this says nothing.
-const FRESH: Millis = 4_000;
-/// One of so many edges may rest at once.
-const PART: usize = 8;
+/// The minimum time between two repair steps of an edge.
+const STEP_INTERVAL_MS: Millis = 1_500;
+/// The time that an edge stays out of service before it is restarted.
+const REST_MS: Millis = 6_000;
+/// The minimum time between the restarts of two edges.
+const RESTART_INTERVAL_MS: Millis = 30_000;
+/// Findings older than this are ignored.
+const MAX_FINDING_AGE_MS: Millis = 4_000;
+/// At most one in this many edges may be out of service at the same time.
+const REST_DIVISOR: usize = 8;
 
-/// The leader's record of all edges.
+/// Decides on repair steps. Used by the leader of the core, for all edges.
 #[derive(Debug, Default)]
 pub struct Repairer {
     edges: BTreeMap<u32, EdgeStanding>,
-    ended: Option<Millis>,
-    /// Most have drifted.
+    /// When an edge was last told to shut down.
+    last_restart: Option<Millis>,
+    /// Whether most edges seem to have drifted.
     pub most_drifted: bool,
 }
 
 impl Repairer {
-    /// What a machine of the core found of an edge that it tells.
+    /// Records what a core machine found about an edge that is connected to it.
     pub fn record_finding(&mut self, now: Millis, edge: u32, incarnation: u64, zone: &str, finding: Finding) {
-        let drift = finding.is_drift();
+        let drifted = finding.is_drift();
         let standing = self.edges.entry(edge).or_insert_with(|| EdgeStanding {
             incarnation,
             zone: zone.into(),
@@ -98,76 +99,78 @@
             step: None,
         });
         if standing.incarnation != incarnation {
-            // A new life begins with nothing: what was done to the last one is over.
+            // A new incarnation starts without a history of drift and repair.
             (standing.incarnation, standing.since, standing.step) = (incarnation, None, None);
         }
-        let well = finding == Finding::InSync;
+        let in_sync = finding == Finding::InSync;
         (standing.finding, standing.at) = (finding, now);
-        if drift {
+        if drifted {
             standing.since.get_or_insert(now);
-        } else if well {
+        } else if in_sync {
             standing.since = None;
         }
     }
 
-    /// All edges.
+    /// Iterates over all known edges.
     pub fn edges(&self) -> impl Iterator<Item = (u32, &EdgeStanding)> {
         self.edges.iter().map(|(edge, standing)| (*edge, standing))
     }
 
-    /// What follows. `ready`: edges that take traffic, with their zones.
+    /// Returns the next repair steps. `ready` lists the edges that accept traffic, with their zones.
     pub fn next_orders(&mut self, now: Millis, ready: &[(u32, String)]) -> Vec<RepairOrder> {
-        self.edges.retain(|_, it| now.saturating_sub(it.at) < 60_000);
-        let fresh = |it: &EdgeStanding| now.saturating_sub(it.at) < FRESH;
-        let heard = self.edges.values().filter(|it| fresh(it)).count();
-        let drifted = self.edges.values().filter(|it| fresh(it) && it.since.is_some()).count();
-        // One of one, or of two, may be wrong by itself.
-        self.most_drifted = drifted >= 2 && drifted * 2 > heard;
-        let mut resting = self.edges.values().filter(|it| matches!(it.step, Some((Step::Rest, _)))).count();
+        self.edges.retain(|_, standing| now.saturating_sub(standing.at) < 60_000);
+        let is_recent = |standing: &EdgeStanding| now.saturating_sub(standing.at) < MAX_FINDING_AGE_MS;
+        let recent = self.edges.values().filter(|standing| is_recent(standing)).count();
+        let drifted =
+            self.edges.values().filter(|standing| is_recent(standing) && standing.since.is_some()).count();
+        // A single drifted edge may be at fault itself, even if there are only one or two edges.
+        self.most_drifted = drifted >= 2 && drifted * 2 > recent;
+        let mut resting =
+            self.edges.values().filter(|standing| matches!(standing.step, Some((Step::Rest, _)))).count();
         let mut out = Vec::new();
-        for (edge, it) in &mut self.edges {
-            let order = |step: Step, it: &EdgeStanding| RepairOrder {
+        for (edge, standing) in &mut self.edges {
+            let order = |step: Step, standing: &EdgeStanding| RepairOrder {
                 edge: *edge,
-                incarnation: it.incarnation,
+                incarnation: standing.incarnation,
                 step,
-                why: it.finding.describe(),
+                why: standing.finding.describe(),
             };
-            if it.since.is_none() {
-                // Well again: whatever was begun is taken back.
-                if matches!(it.step, Some((Step::Rest, _))) && it.finding == Finding::InSync {
-                    out.push(order(Step::Back, it));
+            if standing.since.is_none() {
+                // The edge has recovered: a repair in progress is reverted.
+                if matches!(standing.step, Some((Step::Rest, _))) && standing.finding == Finding::InSync {
+                    out.push(order(Step::Back, standing));
                 }
-                it.step = None;
+                standing.step = None;
                 continue;
             }
-            if self.most_drifted || now.saturating_sub(it.at) >= FRESH {
+            if self.most_drifted || now.saturating_sub(standing.at) >= MAX_FINDING_AGE_MS {
                 continue;
             }
-            let next = match it.step {
+            let next = match standing.step {
                 None => Step::Again,
-                Some((_, at)) if now < at + PAUSE => continue,
+                Some((_, at)) if now < at + STEP_INTERVAL_MS => continue,
                 Some((Step::Again, _)) => Step::Renew,
                 Some((Step::Renew, _)) => {
-                    let others =
-                        ready.iter().filter(|(other, zone)| other != edge && *zone == it.zone).count();
-                    if others == 0 || resting >= (ready.len() / PART).max(1) {
+                    let others_in_zone =
+                        ready.iter().filter(|(other, zone)| other != edge && *zone == standing.zone).count();
+                    if others_in_zone == 0 || resting >= (ready.len() / REST_DIVISOR).max(1) {
                         continue;
                     }
                     resting += 1;
                     Step::Rest
                 }
                 Some((Step::Rest, at)) => {
-                    let free = self.ended.is_none_or(|last| now >= last + ENDS);
-                    if now < at + RESTS || !free {
+                    let may_restart = self.last_restart.is_none_or(|last| now >= last + RESTART_INTERVAL_MS);
+                    if now < at + REST_MS || !may_restart {
                         continue;
                     }
-                    self.ended = Some(now);
+                    self.last_restart = Some(now);
                     Step::End
                 }
                 Some((Step::End | Step::Back, _)) => continue,
             };
-            it.step = Some((next, now));
-            out.push(order(next, it));
+            standing.step = Some((next, now));
+            out.push(order(next, standing));
         }
         out
     }
--- a/crates/drift-detection/tests/checks.rs
+++ b/crates/drift-detection/tests/checks.rs
@@ -1,36 +1,36 @@
-//! Digests of tables, and when an edge is said to have drifted.
+//! Tests digests of tables, and the conditions under which an edge counts as drifted.
 
 use milletwing_drift_detection::{Checker, Digest, Finding, LeafHashes, LeafSink, Part, TableDigest};
 
-/// Milliseconds that an edge may be behind.
-const LAG: u64 = 1_000;
+/// The allowed lag of an edge in milliseconds.
+const MAX_LAG: u64 = 1_000;
 const EDGE: u32 = 7;
-const LIFE: u64 = 1;
+const INCARNATION: u64 = 1;
 
 fn digest(leaves: &[(Part, &str, &[&[u8]])]) -> Digest {
     let mut digest = Digest::default();
-    leaves.iter().for_each(|(part, name, about)| digest.leaf(*part, name, about));
+    leaves.iter().for_each(|(part, name, properties)| digest.leaf(*part, name, properties));
     digest
 }
 
-fn one(name: &str) -> Digest {
+fn single_host(name: &str) -> Digest {
     digest(&[(Part::Hosts, name, &[b"s", b"10.0.0.1:80"])])
 }
 
 #[test]
-fn a_digest_is_of_the_things_and_not_of_their_order() {
+fn a_digest_does_not_depend_on_the_order_of_the_items() {
     let a: (Part, &str, &[&[u8]]) = (Part::Hosts, "i-1", &[b"s"]);
     let b: (Part, &str, &[&[u8]]) = (Part::Routes, "look", &[b"/look/", b"s"]);
     let c: (Part, &str, &[&[u8]]) = (Part::Hosts, "i-2", &[b"s"]);
     assert_eq!(digest(&[a, b, c]), digest(&[c, a, b]));
     assert_eq!(digest(&[a, b]).differing_parts(&digest(&[a, b, c])), [Part::Hosts]);
-    // The same twice is not the same once.
+    // An item that is added twice does not give the same digest as one added once.
     assert_eq!(digest(&[a, a]).differing_parts(&digest(&[a])), [Part::Hosts]);
     assert_eq!(Digest::default().differing_parts(&Digest::default()), []);
 }
 
 #[test]
-fn fields_can_not_run_into_each_other() {
+fn adjacent_fields_are_not_confused() {
     let split: [&[&[u8]]; 4] = [&[b"ab", b"c"], &[b"a", b"bc"], &[b"abc"], &[b"", b"abc"]];
     for (at, left) in split.iter().enumerate() {
         for (other, right) in split.iter().enumerate() {
@@ -38,14 +38,14 @@
             assert_eq!(same, at == other, "{left:?} {right:?}");
         }
     }
-    // Neither can a name run into a field, nor a thing of one part into another's.
+    // Nor is a name confused with a field, or an item of one part with an item of another.
     assert_ne!(digest(&[(Part::Deals, "xy", &[])]), digest(&[(Part::Deals, "x", &[b"y"])]));
     let moved = digest(&[(Part::Hosts, "x", &[])]).differing_parts(&digest(&[(Part::Routes, "x", &[])]));
     assert_eq!(moved, [Part::Routes, Part::Hosts]);
 }
 
 #[test]
-fn an_edges_own_part_is_compared_with_its_own() {
+fn the_part_that_is_specific_to_an_edge_can_be_replaced() {
     let shared = digest(&[(Part::Hosts, "i-1", &[]), (Part::Deals, "i-1", &[&[3]])]);
     let edge = digest(&[(Part::Hosts, "i-1", &[]), (Part::Deals, "i-1", &[&[9]])]);
     assert_eq!(shared.differing_parts(&edge), [Part::Deals]);
@@ -53,48 +53,48 @@
 }
 
 #[test]
-fn what_differs_is_told_by_name_and_bounded() {
-    let mut agreed = LeafHashes::default();
+fn differences_are_listed_by_name_up_to_a_maximum() {
+    let mut core = LeafHashes::default();
     let mut edge = LeafHashes::default();
-    agreed.leaf(Part::Hosts, "i-1", &[b"s"]);
-    agreed.leaf(Part::Hosts, "i-2", &[b"s"]);
+    core.leaf(Part::Hosts, "i-1", &[b"s"]);
+    core.leaf(Part::Hosts, "i-2", &[b"s"]);
     edge.leaf(Part::Hosts, "i-2", &[b"t"]);
     edge.leaf(Part::Routes, "old", &[]);
-    let told = agreed.differences(&edge, 10);
-    assert_eq!(told, ["hosts i-1 is missing", "hosts i-2 differs", "routes old is too many"]);
-    assert_eq!(agreed.differences(&edge, 2).len(), 2);
-    assert!(agreed.differences(&agreed, 10).is_empty());
+    let differences = core.differences(&edge, 10);
+    assert_eq!(differences, ["hosts i-1 is missing", "hosts i-2 differs", "routes old is too many"]);
+    assert_eq!(core.differences(&edge, 2).len(), 2);
+    assert!(core.differences(&core, 10).is_empty());
 }
 
-/// A checker whose own digests are as of these entries, each made at a time.
-fn checker(own: &[(u64, u64)]) -> Checker {
-    let mut checker = Checker::new(LAG);
-    checker.attach(0, EDGE, LIFE);
-    own.iter().for_each(|(at, index)| checker.record_core_digest(*at, *index, one("i-1")));
+/// Creates a checker that recorded digests of the core at these times, as of these entries.
+fn checker(core_digests: &[(u64, u64)]) -> Checker {
+    let mut checker = Checker::new(MAX_LAG);
+    checker.attach(0, EDGE, INCARNATION);
+    core_digests.iter().for_each(|(at, index)| checker.record_core_digest(*at, *index, single_host("i-1")));
     checker
 }
 
 #[test]
-fn an_edge_that_folds_nothing_more_is_older_only_after_its_lag() {
+fn an_edge_that_stops_applying_entries_is_stale_only_after_the_allowed_lag() {
     let mut checker = checker(&[(0, 1), (5_000, 2)]);
-    let mut named = None;
+    let mut reported = None;
     for now in (100..9_000).step_by(100) {
-        // It beats on, and stays at the first entry.
+        // The edge goes on sending heartbeats, and stays at the first entry.
         if let Some(finding) = checker.record_heartbeat(now, EDGE, 1, true) {
-            named.get_or_insert((now, finding));
+            reported.get_or_insert((now, finding));
         }
     }
-    assert_eq!(named, Some((6_100, Finding::Stale)), "the newer entry is there since 5,000");
+    assert_eq!(reported, Some((6_100, Finding::Stale)), "the newer entry exists since 5,000 ms");
 }
 
 #[test]
-fn a_machine_that_does_not_hear_its_leader_names_nobody() {
+fn a_machine_without_leader_contact_reports_no_edge() {
     let mut checker = checker(&[(0, 1), (1_000, 2)]);
     for now in (100..9_000).step_by(100) {
         assert_eq!(checker.record_heartbeat(now, EDGE, 1, false), None);
     }
     assert!(checker.unreporting_edges(9_000).is_empty());
-    // Nor an edge that was frozen or cut off, until it has had its time.
+    // An edge that was suspended or disconnected is not reported until the allowed lag has passed again.
     for now in (20_000..21_000).step_by(100) {
         assert_eq!(checker.record_heartbeat(now, EDGE, 1, true), None, "at {now}");
     }
@@ -103,47 +103,55 @@
 }
 
 #[test]
-fn the_same_entry_and_another_digest_is_drift_in_those_parts() {
+fn a_different_digest_as_of_the_same_entry_is_a_mismatch_in_those_parts() {
     let mut checker = checker(&[(0, 1)]);
-    let told = |digest| TableDigest { index: 1, digest };
-    let wanted = checker.core_digest(1).copied();
-    assert_eq!(checker.check(10, EDGE, &told(one("i-1")), wanted, true), Finding::InSync);
-    let found = checker.check(20, EDGE, &told(one("i-2")), wanted, true);
-    assert_eq!(found, Finding::Mismatch(vec![Part::Hosts]));
-    assert!(found.is_drift() && !Finding::Lagging.is_drift());
+    let report = |digest| TableDigest { index: 1, digest };
+    let expected = checker.core_digest(1).copied();
+    assert_eq!(checker.check(10, EDGE, &report(single_host("i-1")), expected, true), Finding::InSync);
+    let finding = checker.check(20, EDGE, &report(single_host("i-2")), expected, true);
+    assert_eq!(finding, Finding::Mismatch(vec![Part::Hosts]));
+    assert!(finding.is_drift() && !Finding::Lagging.is_drift());
     assert_eq!((checker.checked, checker.differed), (2, 1));
-    // As of an entry of which no digest is kept nothing is said.
+    // Without a digest of the core as of the same entry there is no mismatch.
     assert_eq!(
-        checker.check(30, EDGE, &TableDigest { index: 0, digest: one("i-9") }, None, true),
+        checker.check(30, EDGE, &TableDigest { index: 0, digest: single_host("i-9") }, None, true),
         Finding::Lagging
     );
 }
 
 #[test]
-fn an_entry_that_was_never_agreed_is_too_new_only_where_the_core_has_settled() {
-    let ahead = TableDigest { index: 5, digest: one("i-1") };
-    for (now, fresh, wanted) in
+fn an_edge_is_ahead_only_if_the_core_machine_has_caught_up() {
+    let ahead = TableDigest { index: 5, digest: single_host("i-1") };
+    for (now, leader_contact, expected) in
         [(500, true, Finding::Lagging), (1_500, false, Finding::Lagging), (1_500, true, Finding::Ahead)]
     {
         let mut checker = checker(&[(0, 1)]);
-        assert_eq!(checker.check(now, EDGE, &ahead, None, fresh), wanted, "at {now}, fresh {fresh}");
+        assert_eq!(
+            checker.check(now, EDGE, &ahead, None, leader_contact),
+            expected,
+            "at {now}, leader contact {leader_contact}"
+        );
     }
 }
 
 #[test]
-fn an_edge_that_beats_and_tells_nothing_is_stuck_and_one_that_is_not_heard_is_not() {
-    let beats = |upto: u64| {
+fn an_edge_is_unreporting_if_it_sends_heartbeats_without_reports() {
+    let with_heartbeats = |until: u64| {
         let mut checker = checker(&[(0, 1)]);
-        // Both stand at entries that differ at first, then at the same.
-        (100..upto).step_by(100).for_each(|now| drop(checker.record_heartbeat(now, EDGE, 1, true)));
+        // The edge is at the same entry as the core and sends heartbeats only.
+        (100..until).step_by(100).for_each(|now| drop(checker.record_heartbeat(now, EDGE, 1, true)));
         checker
     };
-    assert_eq!(beats(2_900).unreporting_edges(2_900), []);
-    assert_eq!(beats(3_200).unreporting_edges(3_200), [(EDGE, LIFE)]);
-    assert_eq!(beats(3_200).unreporting_edges(5_000), [], "it is not heard any more");
-    let mut gone = beats(3_200);
-    gone.detach(EDGE, LIFE + 1);
-    assert_eq!(gone.unreporting_edges(3_200).len(), 1, "an earlier life's end says nothing of this one");
-    gone.detach(EDGE, LIFE);
-    assert_eq!(gone.unreporting_edges(3_200), []);
+    assert_eq!(with_heartbeats(2_900).unreporting_edges(2_900), []);
+    assert_eq!(with_heartbeats(3_200).unreporting_edges(3_200), [(EDGE, INCARNATION)]);
+    assert_eq!(with_heartbeats(3_200).unreporting_edges(5_000), [], "the edge is no longer heard");
+    let mut checker = with_heartbeats(3_200);
+    checker.detach(EDGE, INCARNATION + 1);
+    assert_eq!(
+        checker.unreporting_edges(3_200).len(),
+        1,
+        "the end of another incarnation must not affect this one"
+    );
+    checker.detach(EDGE, INCARNATION);
+    assert_eq!(checker.unreporting_edges(3_200), []);
 }
