--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,7 +1,7 @@
 //! Metrics of one process, served over HTTP in the OpenMetrics text format that Prometheus reads.
 //!
-//! A process counts in plain fields of its own. A [`Page`] is made of them only when somebody asks, so that metrics that nobody
-//! reads cost neither memory nor locks. Histograms are the exception: they are live objects of the library.
+//! A process counts in plain fields of its own. A [`Page`] is built from them only on request, so that metrics that are not read
+//! cost neither memory nor locks. Histograms are the exception: they are live objects of the library.
 
 mod server;
 
@@ -17,27 +17,27 @@
 use std::str::FromStr;
 use std::sync::atomic::AtomicU64;
 
-/// Series of one metric at most; further ones are left out of the page.
+/// The maximum number of series per metric. Further ones are omitted from the page.
 pub const MAX_SERIES: usize = 128;
 
-/// Where metrics are served: `PORT/PATH`, as in a deploy file.
+/// The endpoint at which metrics are served: `PORT/PATH`, as in a deploy file.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 #[display("{port}{path}")]
 pub struct Endpoint {
-    /// The TCP port, on the machine's own address.
+    /// The TCP port on the address of the machine.
     pub port: u16,
-    /// The path, with its slash.
+    /// The path, with its leading slash.
     pub path: String,
 }
 
-/// Why a text names no endpoint.
+/// The reason why a text is not a valid endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 pub enum EndpointError {
-    /// No slash in it.
-    #[display("PORT/PATH is wanted")]
+    /// The text has no slash.
+    #[display("expected PORT/PATH")]
     NoPath,
-    /// What stands before the slash.
-    #[display("the port is no number from 1 to 65535")]
+    /// The part before the slash is not a valid port.
+    #[display("the port must be a number from 1 to 65535")]
     BadPort,
 }
 
@@ -51,26 +51,26 @@
     }
 }
 
-/// The labels of one series: names and values.
+/// The labels of a series: pairs of a name and a value.
 pub type Labels = Vec<(&'static str, String)>;
 
-/// The metrics of one moment.
+/// A page with the metrics at one point in time.
 pub struct Page(Registry);
 
 impl Page {
-    /// An empty page. `prefix` begins every name on it.
+    /// Creates an empty page. `prefix` is prepended to every metric name.
     pub fn new(prefix: &str) -> Page {
         Page(Registry::with_prefix(prefix))
     }
 
-    /// A value that only rises during the life of the process, with one series.
+    /// Adds a counter with a single series. A counter never decreases during the lifetime of the process.
     pub fn counter(&mut self, name: &str, help: &str, value: u64) {
         let counter = Counter::<u64>::default();
         counter.inc_by(value);
         self.0.register(name, help, counter);
     }
 
-    /// Values that only rise, one for each set of labels.
+    /// Adds a counter with one series for each set of labels.
     pub fn counters(&mut self, name: &str, help: &str, series: impl IntoIterator<Item = (Labels, u64)>) {
         let family = Family::<Labels, Counter>::default();
         for (labels, value) in series.into_iter().take(MAX_SERIES) {
@@ -79,14 +79,14 @@
         self.0.register(name, help, family);
     }
 
-    /// A value that rises and falls.
+    /// Adds a gauge with a single series.
     pub fn gauge(&mut self, name: &str, help: &str, value: f64) {
         let gauge = Gauge::<f64, AtomicU64>::default();
         gauge.set(value);
         self.0.register(name, help, gauge);
     }
 
-    /// Values that rise and fall, one for each set of labels.
+    /// Adds a gauge with one series for each set of labels.
     pub fn gauges(&mut self, name: &str, help: &str, series: impl IntoIterator<Item = (Labels, f64)>) {
         let family = Family::<Labels, Gauge<f64, AtomicU64>>::default();
         for (labels, value) in series.into_iter().take(MAX_SERIES) {
@@ -95,12 +95,12 @@
         self.0.register(name, help, family);
     }
 
-    /// A histogram of durations in seconds.
+    /// Adds a histogram of durations in seconds.
     pub fn duration_histogram(&mut self, name: &str, help: &str, histogram: &Histogram) {
         self.0.register_with_unit(name, help, Unit::Seconds, histogram.clone());
     }
 
-    /// The resident memory of this process in bytes; left out where the system does not tell it.
+    /// Adds the resident memory of this process in bytes. It is omitted if the system does not provide it.
     pub fn resident_memory(&mut self) {
         const KIB: f64 = 1024.0;
         let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The page as text.
+    /// Renders the page as text.
     pub fn render(&self) -> String {
         let mut text = String::new();
         if encode(&mut text, &self.0).is_err() {
--- a/crates/metrics/tests/page.rs
+++ b/crates/metrics/tests/page.rs
@@ -1,9 +1,9 @@
-//! What a page says, and where it is served.
+//! Tests the text of a page and the parsing of endpoints.
 
 use milletwing_metrics::{Endpoint, EndpointError, Histogram, Page, MAX_SERIES};
 
 #[test]
-fn a_page_is_text_in_the_open_metrics_format() {
+fn a_page_is_rendered_in_the_open_metrics_format() {
     let mut page = Page::new("milletwing_edge");
     let series = [(vec![("class", "idempotent".to_owned())], 3), (vec![("class", "downlink".to_owned())], 4)];
     page.counters("requests", "Requests", series);
@@ -21,12 +21,12 @@
         "milletwing_edge_duration_seconds_bucket{le=\"1.0\"} 1",
         "# EOF",
     ] {
-        assert!(text.lines().any(|found| found == line), "{line} is not in\n{text}");
+        assert!(text.lines().any(|rendered| rendered == line), "{line} is missing from\n{text}");
     }
 }
 
 #[test]
-fn series_are_bounded() {
+fn the_number_of_series_is_bounded() {
     let mut page = Page::new("m");
     page.gauges("many", "Many", (0..MAX_SERIES * 2).map(|at| (vec![("at", at.to_string())], 1.0)));
     assert_eq!(page.render().lines().filter(|line| line.starts_with("m_many{")).count(), MAX_SERIES);
@@ -34,9 +34,9 @@
 
 #[test]
 fn an_endpoint_is_a_port_and_a_path() {
-    let read: Endpoint = "7555/metrics/all".parse().unwrap();
-    assert_eq!(read, Endpoint { port: 7555, path: "/metrics/all".into() });
-    assert_eq!(read.to_string(), "7555/metrics/all");
+    let endpoint: Endpoint = "7555/metrics/all".parse().unwrap();
+    assert_eq!(endpoint, Endpoint { port: 7555, path: "/metrics/all".into() });
+    assert_eq!(endpoint.to_string(), "7555/metrics/all");
     assert_eq!("7555".parse::<Endpoint>(), Err(EndpointError::NoPath));
     for text in ["/metrics", "0/metrics", "70000/metrics", "x/metrics"] {
         assert_eq!(text.parse::<Endpoint>(), Err(EndpointError::BadPort), "{text}");
