--- a/crates/outlier-detection/src/tally.rs
+++ b/crates/outlier-detection/src/detector.rs
@@ -52,7 +52,7 @@
 pub enum HostAction {
     /// Eject the host.
     Eject(u32),
-    /// Let these edges retest it with repeatable requests.
+    /// Let these edges retest it with retry-safe requests.
     Retest(u32, Vec<u32>),
     /// Restore the host.
     Restore(u32),
--- a/crates/routing/src/marshal.rs
+++ b/crates/routing/src/marshal.rs
@@ -117,7 +117,7 @@
     pub proximity: Proximity,
     /// Its zone, version and phase allow it to be sent requests.
     pub eligible: bool,
-    /// Ejected by agreement, while this edge retests it with repeatable requests, one at a time.
+    /// Ejected by agreement, while this edge retests it with retry-safe requests, one at a time.
     pub retest: bool,
     /// It runs a version on trial.
     pub on_trial: bool,
@@ -246,13 +246,13 @@
         unreachable && self.last_answer < sent_at
     }
 
-    /// Whether a request may be sent to it now. `repeatable`: the request may run twice, so it may
+    /// Whether a request may be sent to it now. `retry_safe`: the request may run twice, so it may
     /// be used to check a marshal that failed. `unconfirmed_limit`: requests per second that an
     /// edge without contact to the control plane may send to a marshal that may have turned cold.
-    pub fn accepts(&mut self, now: Time, repeatable: bool, unconfirmed_limit: Option<u32>) -> bool {
+    pub fn accepts(&mut self, now: Time, retry_safe: bool, unconfirmed_limit: Option<u32>) -> bool {
         if !self.eligible {
             return self.retest
-                && repeatable
+                && retry_safe
                 && !self.check_in_flight
                 && self.in_flight == 0
                 && now >= self.backoff.0;
@@ -261,8 +261,8 @@
             return false;
         }
         // After a connection failure one request at a time checks the marshal, and only a
-        // repeatable one.
-        if self.backoff.1 > 0 && (self.check_in_flight || !repeatable) {
+        // retry-safe one.
+        if self.backoff.1 > 0 && (self.check_in_flight || !retry_safe) {
             return false;
         }
         let limit = match (self.cold_limit, unconfirmed_limit) {
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -7,7 +7,7 @@
 
 mod evidence;
 mod outcome;
-mod pick;
+mod selection;
 mod tables;
 
 use crate::budget::Budget;
--- a/crates/routing/src/router/outcome.rs
+++ b/crates/routing/src/router/outcome.rs
@@ -101,7 +101,7 @@
                 | AttemptOutcome::ConnectFailed
                 | AttemptOutcome::NotSent
         );
-        // A request that is not repeatable is sent again only when it certainly has not run.
+        // A request that is not retry-safe is sent again only when it certainly has not run.
         let safe_to_resend = if request.route.class.is_retry_safe() {
             outcome != AttemptOutcome::Served
         } else {
--- a/crates/routing/src/router/pick.rs
+++ b/crates/routing/src/router/selection.rs
@@ -22,12 +22,14 @@
         }
         // Without contact the refusal must not be final: a newer configuration may know the route
         // or key.
-        let unless_newer = |kind| if self.core_contact_lost(now) { ErrorKind::CoreUnreachable } else { kind };
-        let route = self.table.find(head.host, head.path).ok_or_else(|| unless_newer(ErrorKind::NoRoute))?;
+        let unless_outdated =
+            |kind| if self.core_contact_lost(now) { ErrorKind::CoreUnreachable } else { kind };
+        let route =
+            self.table.find(head.host, head.path).ok_or_else(|| unless_outdated(ErrorKind::NoRoute))?;
         let route = Rc::clone(route);
         let tenant = if self.table.tenants.key_required() && !route.keyless {
             let found = head.api_key.and_then(|key| self.table.tenants.find(key));
-            Some(Rc::clone(found.ok_or_else(|| unless_newer(ErrorKind::Unauthorized))?))
+            Some(Rc::clone(found.ok_or_else(|| unless_outdated(ErrorKind::Unauthorized))?))
         } else {
             None
         };
@@ -105,7 +107,7 @@
         let Some(service) = self.services.get(&request.service) else {
             return Err(ErrorKind::NoReachableMarshal);
         };
-        let repeatable = request.route.class.is_retry_safe();
+        let retry_safe = request.route.class.is_retry_safe();
         let kilobytes = self.response_kilobytes.get(&request.route.name).copied().unwrap_or(4.0);
         let target_latency = request.route.target_latency as f64;
         // Under load, capacity is reserved for requests that rank first. The limit never falls
@@ -150,7 +152,7 @@
                 if version.is_some_and(|version| version != marshal.on_trial)
                     || !request.allowed_in(&marshal.region)
                     || request.tried_marshals.contains(&key)
-                    || !marshal.accepts(now, repeatable, limit)
+                    || !marshal.accepts(now, retry_safe, limit)
                 {
                     return;
                 }
@@ -259,7 +261,7 @@
         Ok(Attempt::new(key, marshal, now, limit, number))
     }
 
-    /// Milliseconds after which a repeatable request is hedged, which means sent to a second
+    /// Milliseconds after which a retry-safe request is hedged, which means sent to a second
     /// marshal as well; `None` if it may not be.
     pub fn hedge_delay(&self, request: &RoutedRequest, attempt: &Attempt) -> Option<Time> {
         if !request.route.class.is_retry_safe() || request.attempts >= self.max_attempts(&request.route) {
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -15,7 +15,7 @@
     pub name: String,
     /// Path prefix that a request must have.
     pub prefix: String,
-    /// Traffic class, which decides for example whether requests are repeatable.
+    /// Traffic class, which decides for example whether requests are retry-safe.
     pub class: TrafficClass,
     /// Milliseconds for which a request may be held.
     pub time_limit: u64,
--- a/crates/routing/tests/attempt_limit.rs
+++ b/crates/routing/tests/attempt_limit.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{arrive, body, edge, view};
+use common::{body, edge, route_request, view};
 use milletwing_replicated_state::View;
 use milletwing_routing::{Attempt, AttemptOutcome, RoutedRequest, Router, Time};
 use rand::seq::IndexedRandom;
@@ -78,8 +78,8 @@
         with_limit(&mut view, 2, limit_at_arrival);
         let mut router = edge(seed as u32 % 7, &view, 1, 1);
         // The retry budget is large enough that only the limit decides.
-        (0..400).for_each(|_| drop(arrive(&mut router, 1, "/look/x")));
-        let routed = arrive(&mut router, 2, "/look/x");
+        (0..400).for_each(|_| drop(route_request(&mut router, 1, "/look/x")));
+        let routed = route_request(&mut router, 2, "/look/x");
         let mut request = Request { routed, in_flight: Vec::new(), reached: BTreeSet::new() };
         let (mut now, mut revision, mut current_limit) = (2, 2, limit_at_arrival);
         for _ in 0..STEPS {
--- a/crates/routing/tests/canaries.rs
+++ b/crates/routing/tests/canaries.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{arrive, body, edge, node, view, ZONES};
+use common::{body, edge, node, route_request, view, ZONES};
 use milletwing_replicated_state::{Command, Phase, View};
 use milletwing_routing::canary::Canaries;
 use milletwing_routing::marshal::{Marshal, Proximity};
@@ -40,7 +40,7 @@
         for (at, router) in edges.iter_mut().enumerate().filter(|(at, _)| now % 100 == 11 * *at as u64) {
             router.core_heard(now);
             let path = if now % 200 < 100 { "/order/x" } else { "/look/x" };
-            let mut request = arrive(router, now, path);
+            let mut request = route_request(router, now, path);
             let Ok(attempt) = router.start_attempt(now, &mut request) else {
                 panic!("edge {at}: no marshal, although the earlier version is available")
             };
@@ -108,7 +108,7 @@
             let mut router = edge(id, &view, 9, 1);
             for now in 3_000..8_000 {
                 router.core_heard(now);
-                let mut request = arrive(&mut router, now, "/look/x");
+                let mut request = route_request(&mut router, now, "/look/x");
                 let attempt = router.start_attempt(now, &mut request).unwrap();
                 if attempt.id.starts_with("i-v22") {
                     regions_used.insert(location_of(&attempt.id).1);
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{arrive, edge, node, view};
+use common::{edge, node, route_request, view};
 use milletwing_config::settings::Guarantees;
 use milletwing_config::ErrorKind;
 use milletwing_outlier_detection::host_key;
@@ -16,8 +16,8 @@
 #[test]
 fn longest_matching_prefix_selects_the_route() {
     let mut router = edge(1, &view(4), 1, 1);
-    assert_eq!(arrive(&mut router, 1, "/look/x").route.name, "look");
-    assert_eq!(arrive(&mut router, 1, "/look/deep/x").route.name, "deep");
+    assert_eq!(route_request(&mut router, 1, "/look/x").route.name, "look");
+    assert_eq!(route_request(&mut router, 1, "/look/deep/x").route.name, "deep");
     assert_eq!(
         router
             .route_request(
@@ -56,10 +56,10 @@
 }
 
 /// Guards against running a request twice. Whatever the outcomes of its attempts, a request that is
-/// not repeatable is sent again only after proof that it has not run, and never beyond its
+/// not retry-safe is sent again only after proof that it has not run, and never beyond its
 /// attempts, its regions or its time.
 #[test]
-fn non_repeatable_requests_are_resent_only_if_not_run() {
+fn non_retry_safe_requests_are_resent_only_if_not_run() {
     let outcomes = [
         AttemptOutcome::Served,
         AttemptOutcome::Failed,
@@ -74,9 +74,9 @@
     for seed in 0..3_000 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut router = edge(seed as u32 % 7, &view(12), 1, 1);
-        (0..200).for_each(|_| drop(arrive(&mut router, 1, "/look/x")));
+        (0..200).for_each(|_| drop(route_request(&mut router, 1, "/look/x")));
         let path = if seed % 2 == 0 { "/order/x" } else { "/look/x" };
-        let (mut now, mut request) = (2, arrive(&mut router, 2, path));
+        let (mut now, mut request) = (2, route_request(&mut router, 2, path));
         let (mut may_have_run, mut arrivals, mut seen) = (0, 0, BTreeSet::new());
         while let Ok(attempt) = router.start_attempt(now, &mut request) {
             assert!(
@@ -114,7 +114,7 @@
     let mut router = edge(1, &view(2), 1, 1);
     let mut count = |path: &str| {
         let accepted = |_: &u32| {
-            let mut request = arrive(&mut router, 1, path);
+            let mut request = route_request(&mut router, 1, path);
             match router.start_attempt(1, &mut request) {
                 Ok(_) => true,
                 Err(kind) => {
@@ -145,7 +145,8 @@
     for id in 0..8 {
         let mut router = edge(id, &view, 8, 1);
         for now in 1..2_000 {
-            let mut request = arrive(&mut router, now, if now % 3 == 0 { "/order/x" } else { "/look/x" });
+            let mut request =
+                route_request(&mut router, now, if now % 3 == 0 { "/order/x" } else { "/look/x" });
             let Ok(attempt) = router.start_attempt(now, &mut request) else { continue };
             let closed = ["i-v1-0", "i-v1-1", "i-v1-5", "i-v1-9", "i-v2-3", "i-v1-2"];
             assert!(!closed.contains(&attempt.id.as_ref()), "{} got a request", attempt.id);
@@ -171,7 +172,7 @@
     let mut sent: Vec<Time> = Vec::new();
     for now in 1..8_000 {
         for router in &mut edges {
-            let mut request = arrive(router, now, "/look/x");
+            let mut request = route_request(router, now, "/look/x");
             let Ok(attempt) = router.start_attempt(now, &mut request) else { continue };
             if attempt.id.as_ref() == "i-v1-4" {
                 sent.push(now);
@@ -203,7 +204,7 @@
                     continue;
                 }
                 requests_at.push(now);
-                let mut request = arrive(router, now, "/look/x");
+                let mut request = route_request(router, now, "/look/x");
                 let mut attempts = 0;
                 while let Ok(attempt) = router.start_attempt(now, &mut request) {
                     attempts += 1;
@@ -236,19 +237,19 @@
     }
 }
 
-/// An unreachable marshal is checked by one request at a time, and only by repeatable ones.
+/// An unreachable marshal is checked by one request at a time, and only by retry-safe ones.
 #[test]
-fn unreachable_marshal_is_checked_by_repeatable_requests() {
+fn unreachable_marshal_is_checked_by_retry_safe_requests() {
     let mut router = edge(1, &view(1), 1, 1);
     let (mut checks, mut first) = (Vec::new(), true);
     for now in 1..20_000 {
         let order = now % 2 == 0;
-        let mut request = arrive(&mut router, now, if order { "/order/x" } else { "/look/x" });
+        let mut request = route_request(&mut router, now, if order { "/order/x" } else { "/look/x" });
         match router.start_attempt(now, &mut request) {
             Ok(attempt) => {
                 assert!(first || !order, "an order went to an unreachable marshal");
                 // While a check is in flight, no other request is sent.
-                let mut second = arrive(&mut router, now, "/look/x");
+                let mut second = route_request(&mut router, now, "/look/x");
                 assert!(
                     first || router.start_attempt(now, &mut second).is_err(),
                     "two checks in flight at once"
@@ -265,7 +266,7 @@
 }
 
 /// The traffic of a version on trial stays within the exposure cap. The first stage takes only
-/// repeatable requests, nothing more is sent after contact to the control plane is lost, and
+/// retry-safe requests, nothing more is sent after contact to the control plane is lost, and
 /// retries go to the earlier version.
 #[test]
 fn trial_traffic_stays_within_the_exposure_cap() {
@@ -289,7 +290,7 @@
                 router.record_probe_result(now, &probe, Some(true));
             }
             let order = now % 20 < 10;
-            let mut request = arrive(router, now, if order { "/order/x" } else { "/look/x" });
+            let mut request = route_request(router, now, if order { "/order/x" } else { "/look/x" });
             all += 1.0;
             let Ok(attempt) = router.start_attempt(now, &mut request) else {
                 panic!("no marshal, although the earlier version is available")
@@ -331,7 +332,7 @@
     let mut in_flight = Vec::new();
     for now in 4_000..6_000 {
         router.core_heard(now);
-        let mut request = arrive(&mut router, now, "/look/x");
+        let mut request = route_request(&mut router, now, "/look/x");
         let attempt = router.start_attempt(now, &mut request).unwrap();
         if attempt.id.starts_with("i-v22") {
             in_flight.push((request, attempt));
@@ -360,7 +361,7 @@
     let mut count = 0;
     for now in 7_000..9_000 {
         router.core_heard(now);
-        let mut request = arrive(&mut router, now, "/look/x");
+        let mut request = route_request(&mut router, now, "/look/x");
         let attempt = router.start_attempt(now, &mut request).unwrap();
         if attempt.id.starts_with("i-v22") {
             if now % 2 == 0 {
@@ -393,7 +394,7 @@
             if report {
                 router.apply_shared_loads(now, &loads, 0);
             }
-            let mut request = arrive(&mut router, now, "/look/x");
+            let mut request = route_request(&mut router, now, "/look/x");
             let attempt = router.start_attempt(now, &mut request).unwrap();
             *sent.entry(attempt.id.rsplit('-').next().unwrap().parse().unwrap()).or_default() += 1;
             router.finish_attempt(now, &mut request, &attempt, AttemptOutcome::Cancelled, None);
@@ -405,7 +406,7 @@
     assert!(later.keys().any(|at| !idle.contains(at)), "old load reports exclude no marshal: {later:?}");
     // The edge reports its own observations once.
     router.core_heard(30_000);
-    let mut request = arrive(&mut router, 30_000, "/look/x");
+    let mut request = route_request(&mut router, 30_000, "/look/x");
     let attempt = router.start_attempt(30_000, &mut request).unwrap();
     router.finish_attempt(
         30_020,
@@ -451,7 +452,7 @@
             if now % 100 == 0 {
                 router.trial_reports(now); // time-outs count as they happen
             }
-            let mut request = arrive(&mut router, now, "/look/x");
+            let mut request = route_request(&mut router, now, "/look/x");
             let Ok(attempt) = router.start_attempt(now, &mut request) else { continue };
             let (due, outcome) = match (now >= 9_000 && in_lost_zone(&attempt.id), hangs) {
                 (false, _) => (now + 40, AttemptOutcome::Served),
@@ -498,7 +499,7 @@
         let mut router = edge(1, &view, 1, 1);
         let mut counts = std::collections::BTreeMap::<String, usize>::new();
         for _ in 0..REQUESTS {
-            let request = arrive(&mut router, 1, "/look/x");
+            let request = route_request(&mut router, 1, "/look/x");
             *counts.entry(request.service.to_string()).or_default() += 1;
         }
         let total: usize = shares.iter().map(|(_, share)| share).sum();
--- a/crates/routing/tests/outage.rs
+++ b/crates/routing/tests/outage.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{arrive, edge, node, view};
+use common::{edge, node, route_request, view};
 use milletwing_config::settings::Guarantees;
 use milletwing_config::ErrorKind;
 use milletwing_replicated_state::{Command, Phase, View};
@@ -34,7 +34,7 @@
         }
         if now % 20 == 0 {
             // 50 requests per second.
-            let mut request = arrive(router, now, "/look/x");
+            let mut request = route_request(router, now, "/look/x");
             if let Ok(attempt) = router.start_attempt(now, &mut request) {
                 sent.push(now);
                 router.finish_attempt(now, &mut request, &attempt, AttemptOutcome::Served, None);
@@ -101,7 +101,7 @@
     let mut router = edge(0, &view, 9, 1);
     for now in 1..10_000 {
         router.core_heard(now);
-        let mut request = arrive(&mut router, now, "/look/x");
+        let mut request = route_request(&mut router, now, "/look/x");
         if let Ok(attempt) = router.start_attempt(now, &mut request) {
             router.finish_attempt(now, &mut request, &attempt, AttemptOutcome::Served, None);
         }
--- a/crates/sequential-test/src/lib.rs
+++ b/crates/sequential-test/src/lib.rs
@@ -2,16 +2,16 @@
 //! I/O: the caller provides the time.
 //!
 //! `sums` holds the covariate-adjusted test (CUPED), `exposure` limits what one proxy sends to the
-//! new version, `looks` makes one proxy's vote from its own evidence, and `tally` combines the
+//! new version, `stage_test` makes one proxy's vote from its own evidence, and `tally` combines the
 //! votes and sums of all proxies in the control plane.
 
 pub mod exposure;
-pub mod looks;
+pub mod stage_test;
 pub mod sums;
 pub mod tally;
 
 pub use exposure::ExposureBudget;
-pub use looks::{HoldPolicy, StageTest, TrialReport, Vote};
+pub use stage_test::{HoldPolicy, StageTest, TrialReport, Vote};
 pub use sums::{adjusted_test, Sums};
 pub use tally::{TrialDecision, TrialTally};
 
@@ -41,11 +41,11 @@
 /// Differences in the failure rate below this are ignored, because with many outcomes the test
 /// finds any difference significant.
 pub const MIN_EFFECT: f64 = 0.015;
-/// Number of traffic classes: repeatable, not repeatable, large responses.
+/// Number of traffic classes: retry-safe, not retry-safe, large responses.
 pub const CLASS_COUNT: usize = 3;
 
 /// Exposure cap of a stage as a fraction of the service's requests. The first stage takes only
-/// repeatable requests; the final stage takes all requests.
+/// retry-safe requests; the final stage takes all requests.
 pub fn stage_cap(stage: u32, share: f64) -> f64 {
     match stage {
         0 => share,
