--- a/crates/routing/src/trial.rs
+++ b/crates/routing/src/trial.rs
@@ -127,7 +127,8 @@
 
     /// Whether a request goes to the new version, decided by a random draw within what this edge
     /// may expose. `draw` is in [0, 1). `share` and `slack` are the guaranteed limits, with `slack`
-    /// already this edge's part. `in_contact` tells whether the control plane was in contact recently.
+    /// already this edge's part. `in_contact` tells whether there was recent contact with the
+    /// control plane.
     pub fn draw_trial_version(
         &mut self,
         now: Time,
@@ -155,7 +156,7 @@
             && self.total_exposure.try_take(share, TOTAL_SLACK_SHARE * slack)
     }
 
-    /// The earlier version's mean score in a class over the last second.
+    /// The earlier version's mean score in a class over the covariate window before `now`.
     pub fn covariate(&mut self, now: Time, class: TrafficClass) -> f64 {
         let scores = &mut self.recent_scores[class_index(class)];
         while scores.front().is_some_and(|(at, _)| at + COVARIATE_WINDOW < now) {
@@ -170,9 +171,8 @@
     }
 
     /// Records a time-out, which scores 1: the attempt missed its target latency, or took longer
-    /// than the hedge delay. Counting it now prevents a slow version from escaping
-    /// judgement because its responses come after the decision, or never, when another attempt was
-    /// faster.
+    /// than the hedge delay. Counting it now keeps a slow version from passing because its responses
+    /// come after the decision, or never, when another attempt was faster.
     pub fn record_timeout(&mut self, now: Time, number: u64) {
         if let Some(attempt) = self.pending.get_mut(&number).filter(|attempt| !attempt.timed_out) {
             attempt.timed_out = true;
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Records the end of an attempt. `bad` is `None` if its end is no outcome.
+    /// Records the end of an attempt. `failed` is `None` if its end is no outcome.
     pub fn attempt_ended(&mut self, now: Time, number: u64, failed: Option<bool>) {
         let Some(attempt) = self.pending.remove(&number) else { return };
         let failed = failed.or((now >= attempt.due).then_some(true));
