--- a/crates/milletwing/src/main.rs
+++ b/crates/milletwing/src/main.rs
@@ -9,7 +9,7 @@
 use milletwing_marshal::server::{Extras, Fronting, Gating, Joining};
 use milletwing_marshal::{Config, Limits, Server, Signs};
 use milletwing_processor_server::{settings as processor, Front};
-use milletwing_releases_server::{Host, Record, Settings};
+use milletwing_releases_server::{Host, Settings, SharedRecord};
 
 /// A proxy that tries out new builds on live traffic.
 #[derive(FromArgs)]
@@ -87,14 +87,14 @@
 /// The group's record, as the gate keeps its state in it.
 struct Shared(Keeping);
 
-impl Record for Shared {
-    fn leads(&self) -> bool {
+impl SharedRecord for Shared {
+    fn is_leader(&self) -> bool {
         self.0.leads()
     }
-    fn put(&self, after: u64, number: u64, body: Vec<u8>) {
+    fn propose(&self, after: u64, number: u64, body: Vec<u8>) {
         self.0.put(after, number, body);
     }
-    fn kept(&self) -> Receiver<(u64, Vec<u8>)> {
+    fn commits(&self) -> Receiver<(u64, Vec<u8>)> {
         self.0.kept.clone()
     }
 }
--- a/crates/milletwing/src/releases.rs
+++ b/crates/milletwing/src/releases.rs
@@ -4,8 +4,8 @@
 use milletwing_admin as admin;
 use milletwing_releases::engine::{Engine, State};
 use milletwing_releases::planner::Planner;
-use milletwing_releases_server::settings::{ExemptionText, FreezeText, Settings};
-use milletwing_releases_server::{chart, host, Call};
+use milletwing_releases_server::settings::{ExemptionSettings, FreezeSettings, Settings};
+use milletwing_releases_server::{chart, host, AdminRequest};
 use serde_json::Value;
 
 /// Staged releases with dependencies and freezes; each call takes the operator's file.
@@ -170,7 +170,7 @@
     "deploy/releases.json5".into()
 }
 
-fn ask(file: &str, call: &Call) -> Result<Value, String> {
+fn ask(file: &str, call: &AdminRequest) -> Result<Value, String> {
     admin::call(Settings::from_file(file)?.admin, call)
 }
 
@@ -193,25 +193,25 @@
             );
             if let Some(to) = to {
                 let schedule = Planner::new(&settings.model, engine.state(), now())?.schedule();
-                let text = chart::draw(&settings.model, &schedule, now())?;
+                let text = chart::render_svg(&settings.model, &schedule, now())?;
                 std::fs::write(&to, text).map_err(|problem| format!("{to}: {problem}"))?;
             }
-            let running = if fresh { None } else { admin::call(settings.admin, &Call::Plan).ok() };
+            let running = if fresh { None } else { admin::call(settings.admin, &AdminRequest::Plan).ok() };
             let plan = running.map_or_else(|| host::plan(&engine, now()), Ok)?;
             print(&plan, json, |plan| plan_lines(plan, &settings));
         }
         What::Explain(Explain { releases, building, customer, json, service, build }) => {
-            let told = ask(&releases, &Call::Explain { service, build, building, customer })?;
+            let told = ask(&releases, &AdminRequest::Explain { service, build, building, customer })?;
             print(&told, json, |told| rows(&told["buildings"], &told["edition"]));
         }
         What::Status(Status { releases, json }) => {
-            let told = ask(&releases, &Call::Status)?;
+            let told = ask(&releases, &AdminRequest::Status)?;
             print(&told, json, |told| {
                 format!("table {}\n{}", told["table"], rows(&told["editions"], &Value::Null))
             });
         }
         What::Freeze(Freeze { releases, name, from, to, mode, service, building, customer }) => {
-            let text = FreezeText {
+            let text = FreezeSettings {
                 name,
                 services: service,
                 buildings: building,
@@ -220,14 +220,17 @@
                 to,
                 mode,
             };
-            println!("in force: {}", ask(&releases, &Call::Freeze(text))?);
+            println!("in force: {}", ask(&releases, &AdminRequest::Freeze(text))?);
         }
         What::Exempt(Exempt { releases, name, freeze, service, build, until, reason }) => {
-            let text = ExemptionText { name, reason, freeze, service, build, until };
-            println!("in force: {}", ask(&releases, &Call::Exempt(text))?);
+            let text = ExemptionSettings { name, reason, freeze, service, build, until };
+            println!("in force: {}", ask(&releases, &AdminRequest::Exempt(text))?);
         }
         What::Say(Say { releases, service, build, verdict }) => {
-            println!("said of {}", ask(&releases, &Call::Say { service, build, verdict })?["edition"]);
+            println!(
+                "said of {}",
+                ask(&releases, &AdminRequest::SetVerdict { service, build, verdict })?["edition"]
+            );
         }
     }
     Ok(())
--- a/crates/releases-server/src/chart.rs
+++ b/crates/releases-server/src/chart.rs
@@ -1,13 +1,13 @@
 //! A plan as a picture: a row for each building, a bar for each step, freezes shaded.
 
-use milletwing_releases::calendar::closed;
+use milletwing_releases::calendar::frozen_intervals;
 use milletwing_releases::model::Model;
 use milletwing_releases::planner::Schedule;
 use milletwing_releases::Time;
 use plotters::prelude::*;
 
 /// Draws a schedule as SVG text.
-pub fn draw(model: &Model, schedule: &Schedule, from: Time) -> Result<String, String> {
+pub fn render_svg(model: &Model, schedule: &Schedule, from: Time) -> Result<String, String> {
     let mut text = String::new();
     {
         let failed = |problem: &dyn std::fmt::Display| problem.to_string();
@@ -37,7 +37,9 @@
             for edition in model.editions.keys() {
                 for customers in &model.tranches {
                     let of = (*edition, building, customers.as_slice());
-                    for span in closed(&model.freezes, &model.exemptions, of, (from, schedule.finish)) {
+                    for span in
+                        frozen_intervals(&model.freezes, &model.exemptions, of, (from, schedule.finish))
+                    {
                         let corners = [
                             (minutes(span.from).max(0.0), building as f64),
                             (minutes(span.to).min(end), building as f64 + 0.95),
@@ -73,7 +75,7 @@
                 chart.draw_series([Rectangle::new(corners, color.filled())]).map_err(|p| failed(&p))?;
                 if lanes.len() <= 6 && step.tranche == 0 {
                     let label = Text::new(
-                        model.name(step.edition),
+                        model.edition_name(step.edition),
                         (corners[0].0, low + height * 0.7),
                         ("sans-serif", 11),
                     );
--- a/crates/releases-server/src/host.rs
+++ b/crates/releases-server/src/host.rs
@@ -1,8 +1,8 @@
 //! The thread that owns the engine and the journal. What changes is written before it is told; a table is told again
 //! well within its life, so that marshals forbid what is on its way once this thread is gone.
 
-use crate::journal::{Added, Journal};
-use crate::settings::{exemption, freeze, ExemptionText, FreezeText, Settings};
+use crate::journal::{Journal, OperatorAdditions};
+use crate::settings::{parse_exemption, parse_freeze, ExemptionSettings, FreezeSettings, Settings};
 use crossbeam_channel::{bounded, never, select, tick, Receiver, Sender};
 use milletwing_admin::Asked;
 use milletwing_decision::interface::{
@@ -10,7 +10,7 @@
 };
 use milletwing_marshal::server::Gating;
 use milletwing_marshal::stage::{Note, Watching};
-use milletwing_releases::engine::{Change, Engine, Now, Phase, State, Verdict};
+use milletwing_releases::engine::{Change, ClockReading, Engine, Phase, State, Verdict};
 use milletwing_releases::model::{Edition, Model};
 use milletwing_releases::planner::Planner;
 use serde::{Deserialize, Serialize};
@@ -25,7 +25,7 @@
 /// What an operator asks.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "call")]
-pub enum Call {
+pub enum AdminRequest {
     /// How all editions stand.
     Status,
     /// The plan from now on.
@@ -42,11 +42,12 @@
         customer: Option<String>,
     },
     /// Adds a freeze.
-    Freeze(FreezeText),
+    Freeze(FreezeSettings),
     /// Adds an exemption.
-    Exempt(ExemptionText),
+    Exempt(ExemptionSettings),
     /// Says of an edition of another service that it may go on, or goes back.
-    Say {
+    #[serde(rename = "say")]
+    SetVerdict {
         /// Its service.
         service: String,
         /// Its build.
@@ -73,13 +74,13 @@
 
 /// A record that several instances share: one value, put by whoever leads, told to all. Where there is one, it stands in
 /// place of the journal.
-pub trait Record: Send {
+pub trait SharedRecord: Send {
     /// Whether this instance leads.
-    fn leads(&self) -> bool;
+    fn is_leader(&self) -> bool;
     /// Wants a value kept in place of the one with the number before.
-    fn put(&self, after: u64, number: u64, body: Vec<u8>);
+    fn propose(&self, after: u64, number: u64, body: Vec<u8>);
     /// Each value as it is committed.
-    fn kept(&self) -> Receiver<(u64, Vec<u8>)>;
+    fn commits(&self) -> Receiver<(u64, Vec<u8>)>;
 }
 
 /// Where the state is kept.
@@ -90,7 +91,7 @@
 
 /// The state in a record that instances share.
 struct SharedState {
-    record: Box<dyn Record>,
+    record: Box<dyn SharedRecord>,
     /// The number of the last value.
     number: u64,
     /// What was put and is not told yet, and when.
@@ -98,7 +99,7 @@
     /// What is to be said of editions as soon as this instance may.
     said: Vec<(Edition, Verdict)>,
     /// What an operator wants added, and who waits to hear of it.
-    adding: Option<(Model, Added, Reply)>,
+    adding: Option<(Model, OperatorAdditions, Reply)>,
 }
 
 /// Where a call's answer goes.
@@ -119,7 +120,7 @@
 struct Keeper {
     engine: Engine,
     kept: Kept,
-    added: Added,
+    added: OperatorAdditions,
     settings: Settings,
     attached: Vec<Attached>,
     base: (i64, Instant),
@@ -131,19 +132,19 @@
 }
 
 /// The file's model with what operators added in service.
-fn with_added(settings: &Settings, added: &Added) -> Result<Model, String> {
+fn with_added(settings: &Settings, added: &OperatorAdditions) -> Result<Model, String> {
     let mut model = settings.model.clone();
     for text in &added.freezes {
-        model.freezes.push(freeze(&model, &settings.zone, text)?);
+        model.freezes.push(parse_freeze(&model, &settings.zone, text)?);
     }
     for text in &added.exemptions {
-        model.exemptions.push(exemption(&model, &settings.zone, text)?);
+        model.exemptions.push(parse_exemption(&model, &settings.zone, text)?);
     }
     Ok(model)
 }
 
 /// The state as the journal and the file give it.
-fn open(settings: &Settings) -> Result<(Engine, Journal, Added), String> {
+fn open(settings: &Settings) -> Result<(Engine, Journal, OperatorAdditions), String> {
     let names: Vec<String> =
         settings.model.services.iter().chain(&settings.model.buildings).cloned().collect();
     let (journal, state, added) = Journal::open(&settings.journal, &names)?;
@@ -156,12 +157,12 @@
     pub fn start(settings: Settings) -> Result<Host, String> {
         let (mut engine, mut journal, added) = open(&settings)?;
         let changes = engine.renumber();
-        journal.write(&changes, engine.state())?;
+        journal.append(&changes, engine.state())?;
         Host::run(settings, engine, Kept::Own(journal), added)
     }
 
     /// Goes on from what instances share; until that is told, nothing is permitted but what the file calls released.
-    pub fn start_shared(settings: Settings, record: Box<dyn Record>) -> Result<Host, String> {
+    pub fn start_shared(settings: Settings, record: Box<dyn SharedRecord>) -> Result<Host, String> {
         let (number, put, said, adding) = (0, None, Vec::new(), None);
         let state = State::default();
         let engine = Engine::new(settings.model.clone(), state, settings.table_life_ms, settings.grace_s);
@@ -169,11 +170,11 @@
             settings,
             engine,
             Kept::Shared(Box::new(SharedState { record, number, put, said, adding })),
-            Added::default(),
+            OperatorAdditions::default(),
         )
     }
 
-    fn run(settings: Settings, engine: Engine, kept: Kept, added: Added) -> Result<Host, String> {
+    fn run(settings: Settings, engine: Engine, kept: Kept, added: OperatorAdditions) -> Result<Host, String> {
         let (words, heard) = bounded(1024);
         let (calls, asked) = bounded(16);
         milletwing_admin::listen(settings.admin, calls, "the gate of this instance has ended; see its log")
@@ -237,9 +238,9 @@
 impl Watching for Watcher {
     fn told(&self, news: &StageReport) {
         let verdict = match news.phase {
-            Told::Reverting | Told::Withdrawn => Verdict::Back,
-            Told::Released => Verdict::On,
-            Told::Trial if news.stage > 0 => Verdict::On,
+            Told::Reverting | Told::Withdrawn => Verdict::Revert,
+            Told::Released => Verdict::Proceed,
+            Told::Trial if news.stage > 0 => Verdict::Proceed,
             Told::Trial => return,
         };
         let _ = self.words.try_send(Word::Say(self.service, news.build, verdict));
@@ -248,7 +249,7 @@
     fn cast(&self, build: Build, vote: Vote) {
         // Going on is the platform's to say; going back counts from the vote on.
         if vote == Vote::Revert {
-            let _ = self.words.try_send(Word::Say(self.service, build, Verdict::Back));
+            let _ = self.words.try_send(Word::Say(self.service, build, Verdict::Revert));
             // cast again
         }
     }
@@ -271,15 +272,15 @@
 }
 
 impl Keeper {
-    fn now(&self) -> Now {
-        Now { wall: wall(), steady: self.base.0 + self.base.1.elapsed().as_secs() as i64 }
+    fn now(&self) -> ClockReading {
+        ClockReading { wall: wall(), monotonic: self.base.0 + self.base.1.elapsed().as_secs() as i64 }
     }
 
-    fn run(&mut self, heard: &Receiver<Word>, asked: &Receiver<Asked<Call>>) -> Result<(), String> {
+    fn run(&mut self, heard: &Receiver<Word>, asked: &Receiver<Asked<AdminRequest>>) -> Result<(), String> {
         let looks = tick(LOOK);
         let told = match &self.kept {
             Kept::Own(_) => never(),
-            Kept::Shared(shared) => shared.record.kept(),
+            Kept::Shared(shared) => shared.record.commits(),
         };
         loop {
             select! {
@@ -322,9 +323,9 @@
 
     /// The one that leads puts the next state, one at a time: what has changed, what was said and added, and before the
     /// table's life is over the same once more. Told, and in force, is only what was committed.
-    fn put(&mut self, now: Now, renew: bool) -> Result<(), String> {
+    fn put(&mut self, now: ClockReading, renew: bool) -> Result<(), String> {
         let Kept::Shared(shared) = &mut self.kept else { return Ok(()) };
-        if !shared.record.leads() {
+        if !shared.record.is_leader() {
             if let Some((.., reply)) = shared.adding.take() {
                 let _ = reply.send(Err("leadership was lost meanwhile; ask the one that leads".into()));
                 // it may have gone
@@ -339,17 +340,17 @@
         let mut changed = shared.number == 0 || shared.adding.is_some();
         // What is wanted stays wanted until it is told: a value that was put may get lost.
         if let Some((model, more, _)) = &shared.adding {
-            next.set(model.clone());
+            next.replace_model(model.clone());
             added = more.clone();
         }
         for (edition, verdict) in &shared.said {
-            changed |= !next.verdict(*edition, *verdict, now).is_empty();
+            changed |= !next.record_verdict(*edition, *verdict, now).is_empty();
         }
         changed |= !next.tick(now).is_empty();
         if changed || renew {
             let number = shared.number + 1;
             let body = postcard::to_stdvec(&(next.state(), &added)).map_err(|problem| problem.to_string())?;
-            shared.record.put(shared.number, number, body);
+            shared.record.propose(shared.number, number, body);
             shared.put = Some(Instant::now());
         }
         Ok(())
@@ -367,7 +368,7 @@
         let model = with_added(&self.settings, &added)?;
         let state: State = state;
         let stands = |edition: Edition, verdict| {
-            [Some(verdict), Some(Verdict::Back)].contains(&state.verdict(edition))
+            [Some(verdict), Some(Verdict::Revert)].contains(&state.verdict(edition))
         };
         shared.said.retain(|(edition, verdict)| !stands(*edition, *verdict));
         if let Some((.., reply)) = shared.adding.take_if(|(_, wanted, _)| *wanted == added) {
@@ -377,7 +378,7 @@
         self.engine = Engine::new(model, state, self.settings.table_life_ms, self.settings.grace_s);
         self.added = added;
         if changed {
-            log::info!("releases: shared state {number}, table {}", self.engine.state().table);
+            log::info!("releases: shared state {number}, table {}", self.engine.state().table_number);
         }
         self.tell_all();
         Ok(())
@@ -389,14 +390,14 @@
             Kept::Shared(shared) => {
                 let known = self.engine.state().verdict(edition);
                 // Said again and again by marshals: what stands is not said once more.
-                let news = known != Some(verdict) && known != Some(Verdict::Back);
+                let news = known != Some(verdict) && known != Some(Verdict::Revert);
                 if news && !shared.said.contains(&(edition, verdict)) && shared.said.len() < 1024 {
                     shared.said.push((edition, verdict));
                 }
                 Ok(())
             }
             Kept::Own(_) => {
-                let changes = self.engine.verdict(edition, verdict, now);
+                let changes = self.engine.record_verdict(edition, verdict, now);
                 self.written(&changes)?;
                 if !changes.is_empty() {
                     self.tell_all();
@@ -409,7 +410,7 @@
     /// Whether operators may change something here.
     fn may_change(&self) -> Result<(), String> {
         match &self.kept {
-            Kept::Shared(shared) if !shared.record.leads() => {
+            Kept::Shared(shared) if !shared.record.is_leader() => {
                 Err("this instance does not lead its group; `milletwing group status` tells who does".into())
             }
             _ => Ok(()),
@@ -418,56 +419,57 @@
 
     fn written(&mut self, changes: &[Change]) -> Result<(), String> {
         for change in changes {
-            if let Change::Track(edition, building, track) = change {
+            if let Change::Progress(edition, building, progress) = change {
                 let (name, place) =
-                    (self.engine.model().name(*edition), &self.engine.model().buildings[*building]);
-                let held = if track.held { ", held" } else { "" };
+                    (self.engine.model().edition_name(*edition), &self.engine.model().buildings[*building]);
+                let held = if progress.held { ", held" } else { "" };
                 log::info!(
                     "releases: {name} in {place}: {:?}, {} tranches out{held}",
-                    track.phase,
-                    track.done
+                    progress.phase,
+                    progress.tranches_done
                 );
             }
         }
         let Kept::Own(journal) = &mut self.kept else { return Ok(()) };
-        journal.write(changes, self.engine.state()).map_err(|why| format!("writing the journal: {why}"))
+        journal.append(changes, self.engine.state()).map_err(|why| format!("writing the journal: {why}"))
     }
 
     /// The part of the table that is a marshal's.
     fn tell(&self, attached: &Attached) {
-        let table = self.engine.permitted();
+        let table = self.engine.release_table();
         let model = self.engine.model();
         let own = |list: &std::collections::BTreeSet<(Edition, usize, usize)>| {
             let own = list.iter().filter(|(edition, ..)| edition.service == attached.service);
             own.map(|(e, b, c)| (Build(e.build), attached.zones[*b], attached.tenants[*c])).collect()
         };
         let (mut released, moving): (std::collections::HashSet<_>, _) =
-            (own(&table.released), own(&table.moving));
+            (own(&table.released), own(&table.in_rollout));
         // Requests of nobody go where an edition is out for everybody.
         for (edition, plan) in model.editions.iter().filter(|(e, _)| e.service == attached.service) {
             for building in 0..model.buildings.len() {
-                let track = self.engine.state().track(*edition, building);
-                if track.phase != Phase::Withdrawn && (plan.released || track.phase == Phase::Released) {
+                let progress = self.engine.state().progress(*edition, building);
+                if progress.phase != Phase::Withdrawn && (plan.released || progress.phase == Phase::Released)
+                {
                     released.insert((Build(edition.build), attached.zones[building], PermitTable::NO_TENANT));
                 }
             }
         }
-        let (number, life) = (table.number, Ms(table.life as f64));
+        let (number, life) = (table.number, Ms(table.ttl_ms as f64));
         let permits = Arc::new(PermitTable { version: number, ttl: life, released, in_rollout: moving });
         let _ = attached.notes.send(Note::Told(Event::PermitTable(permits))); // the marshal may have ended
     }
 
     /// Answers a call; one that waits for the group is answered once that has taken it.
-    fn answer(&mut self, call: &Call, reply: Reply) {
+    fn answer(&mut self, call: &AdminRequest, reply: Reply) {
         if let Some(answer) = self.call(call, &reply).transpose() {
             let _ = reply.send(answer); // who asked may have gone
         }
     }
 
     /// `None`: the answer comes later.
-    fn call(&mut self, call: &Call, reply: &Reply) -> Result<Option<Value>, String> {
+    fn call(&mut self, call: &AdminRequest, reply: &Reply) -> Result<Option<Value>, String> {
         let now = self.now();
-        self.engine.look(now);
+        self.engine.set_time(now);
         let model = self.engine.model().clone();
         let named = |service: &str, build: u32| {
             let at = model.services.iter().position(|name| name == service);
@@ -476,45 +478,50 @@
             known.ok_or_else(|| format!("there is no edition {service} {build}"))
         };
         match call {
-            Call::Status => Ok(Some(status(&self.engine))),
-            Call::Plan => plan(&self.engine, now.steady).map(Some),
-            Call::Explain { service, build, building, customer } => {
+            AdminRequest::Status => Ok(Some(status(&self.engine))),
+            AdminRequest::Plan => plan(&self.engine, now.monotonic).map(Some),
+            AdminRequest::Explain { service, build, building, customer } => {
                 explain(&self.engine, named(service, *build)?, building.as_deref(), customer.as_deref())
                     .map(Some)
             }
-            Call::Freeze(text) => {
+            AdminRequest::Freeze(text) => {
                 let mut model = model.clone();
                 if model.freezes.iter().any(|freeze| freeze.name == text.name) {
                     return Err(format!("there is a freeze {} already", text.name));
                 }
-                model.freezes.push(freeze(&model, &self.settings.zone, text)?);
+                model.freezes.push(parse_freeze(&model, &self.settings.zone, text)?);
                 let mut added = self.added.clone();
                 added.freezes.push(text.clone());
                 self.add(model, added, reply)
             }
-            Call::Exempt(text) => {
+            AdminRequest::Exempt(text) => {
                 let mut model = model.clone();
-                model.exemptions.push(exemption(&model, &self.settings.zone, text)?);
+                model.exemptions.push(parse_exemption(&model, &self.settings.zone, text)?);
                 let mut added = self.added.clone();
                 added.exemptions.push(text.clone());
                 self.add(model, added, reply)
             }
-            Call::Say { service, build, verdict } => {
+            AdminRequest::SetVerdict { service, build, verdict } => {
                 let edition = named(service, *build)?;
                 let verdict = match verdict.as_str() {
-                    "on" => Verdict::On,
-                    "back" => Verdict::Back,
+                    "on" => Verdict::Proceed,
+                    "back" => Verdict::Revert,
                     other => return Err(format!("`{other}` is neither on nor back")),
                 };
                 self.may_change()?;
                 self.say(edition, verdict)?;
-                Ok(Some(json!({ "edition": model.name(edition) })))
+                Ok(Some(json!({ "edition": model.edition_name(edition) })))
             }
         }
     }
 
     /// Written first, in force then.
-    fn add(&mut self, model: Model, added: Added, reply: &Reply) -> Result<Option<Value>, String> {
+    fn add(
+        &mut self,
+        model: Model,
+        added: OperatorAdditions,
+        reply: &Reply,
+    ) -> Result<Option<Value>, String> {
         self.may_change()?;
         match &mut self.kept {
             Kept::Shared(shared) if shared.adding.is_some() => {
@@ -525,11 +532,11 @@
                 Ok(None)
             }
             Kept::Own(journal) => {
-                journal.add(&added)?;
+                journal.write_additions(&added)?;
                 self.added = added;
-                let changes = self.engine.set(model);
-                journal.write(&changes, self.engine.state())?;
-                Ok(Some(json!({ "table": self.engine.state().table })))
+                let changes = self.engine.replace_model(model);
+                journal.append(&changes, self.engine.state())?;
+                Ok(Some(json!({ "table": self.engine.state().table_number })))
             }
         }
     }
@@ -542,19 +549,19 @@
         .filter(|(_, plan)| !plan.released)
         .flat_map(|(edition, _)| (0..model.buildings.len()).map(move |building| (*edition, building)))
         .map(|(edition, building)| {
-            let track = engine.state().track(edition, building);
+            let progress = engine.state().progress(edition, building);
             json!({
-                "edition": model.name(edition),
+                "edition": model.edition_name(edition),
                 "building": model.buildings[building],
-                "phase": format!("{:?}", track.phase).to_lowercase(),
-                "tranches_out": track.done,
+                "phase": format!("{:?}", progress.phase).to_lowercase(),
+                "tranches_out": progress.tranches_done,
                 "of": model.tranches.len(),
-                "held": track.held,
-                "waits": engine.waits(edition, building),
+                "held": progress.held,
+                "waits": engine.wait_reasons(edition, building),
             })
         })
         .collect();
-    json!({ "table": engine.state().table, "editions": rows })
+    json!({ "table": engine.state().table_number, "editions": rows })
 }
 
 /// The plan from now on.
@@ -566,7 +573,7 @@
         .iter()
         .map(|step| {
             json!({
-                "edition": model.name(step.edition),
+                "edition": model.edition_name(step.edition),
                 "building": model.buildings[step.building],
                 "tranche": step.tranche + 1,
                 "start": step.start,
@@ -574,14 +581,14 @@
             })
         })
         .collect();
-    let stuck: Vec<Value> = schedule
-        .stuck
+    let unschedulable: Vec<Value> = schedule
+        .unschedulable
         .iter()
-        .map(|(edition, why)| json!({ "edition": model.name(*edition), "why": why }))
+        .map(|(edition, why)| json!({ "edition": model.edition_name(*edition), "why": why }))
         .collect();
     Ok(
-        json!({ "now": now, "finish": schedule.finish, "no_plan_before": schedule.bound, "best": schedule.best,
-        "steps": steps, "stuck": stuck }),
+        json!({ "now": now, "finish": schedule.finish, "no_plan_before": schedule.lower_bound, "best": schedule.optimal,
+        "steps": steps, "stuck": unschedulable }),
     )
 }
 
@@ -598,21 +605,22 @@
     };
     let only = building.map(|name| find(&model.buildings, "building", name)).transpose()?;
     let customer = customer.map(|name| find(&model.customers, "customer", name)).transpose()?;
-    let table = engine.permitted();
+    let table = engine.release_table();
     let places = (0..model.buildings.len()).filter(|at| only.is_none_or(|only| only == *at));
     let rows: Vec<Value> = places
         .map(|building| {
-            let track = engine.state().track(edition, building);
+            let progress = engine.state().progress(edition, building);
             let entry = customer.map(|customer| (edition, building, customer));
-            let carries = entry.map(|entry| table.released.contains(&entry) || table.moving.contains(&entry));
+            let carries =
+                entry.map(|entry| table.released.contains(&entry) || table.in_rollout.contains(&entry));
             json!({
                 "building": model.buildings[building],
-                "phase": format!("{:?}", track.phase).to_lowercase(),
-                "tranches_out": track.done,
-                "waits": engine.waits(edition, building),
+                "phase": format!("{:?}", progress.phase).to_lowercase(),
+                "tranches_out": progress.tranches_done,
+                "waits": engine.wait_reasons(edition, building),
                 "carries_the_customer": carries,
             })
         })
         .collect();
-    Ok(json!({ "edition": model.name(edition), "buildings": rows }))
+    Ok(json!({ "edition": model.edition_name(edition), "buildings": rows }))
 }
--- a/crates/releases-server/src/journal.rs
+++ b/crates/releases-server/src/journal.rs
@@ -1,7 +1,7 @@
 //! The journal on disk: each change synced before any table that shows it is told. Freezes and exemptions that operators
 //! added in service stand in it too.
 
-use crate::settings::{ExemptionText, FreezeText};
+use crate::settings::{ExemptionSettings, FreezeSettings};
 use milletwing_releases::engine::{Change, State};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::{Deserialize, Serialize};
@@ -17,11 +17,11 @@
 
 /// What operators added in service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Added {
+pub struct OperatorAdditions {
     /// Freezes.
-    pub freezes: Vec<FreezeText>,
+    pub freezes: Vec<FreezeSettings>,
     /// Exemptions.
-    pub exemptions: Vec<ExemptionText>,
+    pub exemptions: Vec<ExemptionSettings>,
 }
 
 /// A journal that is open.
@@ -48,7 +48,7 @@
 impl Journal {
     /// Opens it, or makes it where there is none; gives the state and what was added. `names` are the services and
     /// buildings that numbers stand for: one with others is refused.
-    pub fn open(path: &Path, names: &[String]) -> Result<(Journal, State, Added), String> {
+    pub fn open(path: &Path, names: &[String]) -> Result<(Journal, State, OperatorAdditions), String> {
         let told = |why: &dyn std::fmt::Display| format!("journal {}: {why}", path.display());
         // The library may panic on a file that is no database any more.
         std::panic::catch_unwind(|| Journal::read(path, names))
@@ -56,7 +56,7 @@
             .map_err(|why| told(&why))
     }
 
-    fn read(path: &Path, names: &[String]) -> Result<(Journal, State, Added), Fault> {
+    fn read(path: &Path, names: &[String]) -> Result<(Journal, State, OperatorAdditions), Fault> {
         let base = Database::create(path)?;
         let write = base.begin_write()?;
         {
@@ -109,7 +109,7 @@
     }
 
     /// Writes changes and syncs; `state` is what they have made.
-    pub fn write(&mut self, changes: &[Change], state: &State) -> Result<(), String> {
+    pub fn append(&mut self, changes: &[Change], state: &State) -> Result<(), String> {
         self.put(changes, state).map_err(|problem| problem.to_string())
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// Writes what operators have added.
-    pub fn add(&mut self, added: &Added) -> Result<(), String> {
+    pub fn write_additions(&mut self, added: &OperatorAdditions) -> Result<(), String> {
         let put = || -> Result<(), Fault> {
             let write = self.base.begin_write()?;
             write.open_table(META)?.insert("added", seal(added)?.as_slice())?;
--- a/crates/releases-server/src/lib.rs
+++ b/crates/releases-server/src/lib.rs
@@ -8,5 +8,5 @@
 pub mod journal;
 pub mod settings;
 
-pub use host::{Call, Host, Record};
+pub use host::{AdminRequest, Host, SharedRecord};
 pub use settings::Settings;
--- a/crates/releases-server/src/settings.rs
+++ b/crates/releases-server/src/settings.rs
@@ -3,8 +3,10 @@
 use jiff::civil::DateTime;
 use jiff::tz::TimeZone;
 use milletwing_admin::line_of;
-use milletwing_releases::calendar::{moment, Exemption, Freeze, Mode, Scope, Span};
-use milletwing_releases::model::{Budgets, Edition, Model, Need, Plan, Reach};
+use milletwing_releases::calendar::{
+    resolve_local_time, Exemption, Freeze, FreezeMode, FreezePeriod, FreezeScope,
+};
+use milletwing_releases::model::{Budgets, Dependency, DependencyScope, Edition, EditionSpec, Model};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -50,9 +52,9 @@
     budgets: BudgetsText,
     services: BTreeMap<String, BTreeMap<String, EditionText>>,
     #[serde(default)]
-    freezes: Vec<FreezeText>,
+    freezes: Vec<FreezeSettings>,
     #[serde(default)]
-    exemptions: Vec<ExemptionText>,
+    exemptions: Vec<ExemptionSettings>,
 }
 
 fn life() -> u64 {
@@ -99,7 +101,7 @@
 /// A freeze as the file and operators word it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct FreezeText {
+pub struct FreezeSettings {
     /// Its name.
     pub name: String,
     /// Services; none: all.
@@ -122,7 +124,7 @@
 /// An exemption as the file and operators word it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ExemptionText {
+pub struct ExemptionSettings {
     /// Its name.
     pub name: String,
     /// Why.
@@ -163,37 +165,41 @@
 }
 
 /// A freeze from its words.
-pub fn freeze(model: &Model, zone: &TimeZone, text: &FreezeText) -> Result<Freeze, String> {
+pub fn parse_freeze(model: &Model, zone: &TimeZone, text: &FreezeSettings) -> Result<Freeze, String> {
     let named = |why: String| format!("{}: {why}", text.name);
-    let scope = Scope {
+    let scope = FreezeScope {
         services: known("service", &model.services, &text.services).map_err(named)?,
         buildings: known("building", &model.buildings, &text.buildings).map_err(named)?,
         customers: known("customer", &model.customers, &text.customers).map_err(named)?,
     };
-    let span = match (local(&text.from), local(&text.to), yearly(&text.from), yearly(&text.to)) {
-        (Some(from), Some(to), ..) => Span::Once(from, to),
-        (None, None, Some(from), Some(to)) => Span::Yearly(from, to),
+    let period = match (local(&text.from), local(&text.to), yearly(&text.from), yearly(&text.to)) {
+        (Some(from), Some(to), ..) => FreezePeriod::Once(from, to),
+        (None, None, Some(from), Some(to)) => FreezePeriod::Yearly(from, to),
         _ => return Err(named(format!("`{}` to `{}` are no two times of one kind", text.from, text.to))),
     };
     let mode = match text.mode.as_str() {
-        "hold" => Mode::Hold,
-        "settle" => Mode::Settle,
-        "finish" => Mode::Finish,
+        "hold" => FreezeMode::Hold,
+        "settle" => FreezeMode::Rollback,
+        "finish" => FreezeMode::Finish,
         other => return Err(named(format!("`{}` is no mode: hold, settle or finish", other.escape_debug()))),
     };
-    let freeze = Freeze { name: text.name.clone(), scope, span, mode, zone: zone.clone() };
-    freeze.check().map_err(named)?;
+    let freeze = Freeze { name: text.name.clone(), scope, period, mode, zone: zone.clone() };
+    freeze.validate().map_err(named)?;
     Ok(freeze)
 }
 
 /// An exemption from its words.
-pub fn exemption(model: &Model, zone: &TimeZone, text: &ExemptionText) -> Result<Exemption, String> {
+pub fn parse_exemption(
+    model: &Model,
+    zone: &TimeZone,
+    text: &ExemptionSettings,
+) -> Result<Exemption, String> {
     let named = |why: String| format!("{}: {why}", text.name);
     let service = at(&model.services, &text.service)
         .ok_or_else(|| named(format!("there is no service {}", text.service)))?;
     let edition = Edition { service, build: text.build };
     if !model.editions.contains_key(&edition) {
-        return Err(named(format!("there is no edition {}", model.name(edition))));
+        return Err(named(format!("there is no edition {}", model.edition_name(edition))));
     }
     if text.reason.trim().is_empty() {
         return Err(named("a reason is wanted".into()));
@@ -201,7 +207,7 @@
     if !model.freezes.iter().any(|freeze| freeze.name == text.freeze) {
         return Err(named(format!("there is no freeze {}", text.freeze)));
     }
-    let until = local(&text.until).and_then(|until| moment(zone, until, false));
+    let until = local(&text.until).and_then(|until| resolve_local_time(zone, until, false));
     let until = until.ok_or_else(|| named(format!("until: `{}` is no time", text.until.escape_debug())))?;
     Ok(Exemption {
         name: text.name.clone(),
@@ -217,13 +223,13 @@
     pub fn from_file(path: &str) -> Result<Settings, String> {
         let text = std::fs::read_to_string(path).map_err(|problem| format!("{path}: {problem}"))?;
         let folder = std::path::Path::new(path).parent().map(PathBuf::from).unwrap_or_default();
-        let mut settings = Settings::read(&text).map_err(|problem| format!("{path}: {problem}"))?;
+        let mut settings = Settings::parse(&text).map_err(|problem| format!("{path}: {problem}"))?;
         settings.journal = folder.join(&settings.journal);
         Ok(settings)
     }
 
     /// Reads the text.
-    pub fn read(text: &str) -> Result<Settings, String> {
+    pub fn parse(text: &str) -> Result<Settings, String> {
         let raw: Text = json5::from_str(text).map_err(|problem| problem.to_string().replace('\n', " "))?;
         let wrong = |field: &str, why: String| format!("line {}: {field}: {why}", line_of(text, field));
         let zone = TimeZone::get(&raw.time_zone)
@@ -246,11 +252,12 @@
         let service = at(&services, &raw.service).ok_or_else(|| {
             wrong("service", format!("there is no service `{}`", raw.service.escape_debug()))
         })?;
-        let homes = raw.customers.values().map(|homes| {
-            let homes = known("building", &raw.buildings, homes).map_err(|why| wrong("customers", why))?;
-            Ok(homes.into_iter().collect())
+        let customer_buildings = raw.customers.values().map(|customer_buildings| {
+            let customer_buildings = known("building", &raw.buildings, customer_buildings)
+                .map_err(|why| wrong("customers", why))?;
+            Ok(customer_buildings.into_iter().collect())
         });
-        let homes = homes.collect::<Result<Vec<Vec<usize>>, String>>()?;
+        let customer_buildings = customer_buildings.collect::<Result<Vec<Vec<usize>>, String>>()?;
         let tranches = raw.tranches.iter().map(|names| {
             let of: Result<Vec<usize>, String> = names
                 .iter()
@@ -271,17 +278,25 @@
                         format!("`{}` of {} is no build", build.escape_debug(), services[service]),
                     )
                 })?;
-                let needs = plan.needs.iter().map(|need| {
+                let dependencies = plan.needs.iter().map(|need| {
                     let of = at(&services, &need.service)
                         .ok_or_else(|| wrong("needs", format!("there is no service `{}`", need.service)))?;
-                    let reach = match need.reach {
-                        ReachText::Building => Reach::Building,
-                        ReachText::Everywhere => Reach::Everywhere,
+                    let scope = match need.reach {
+                        ReachText::Building => DependencyScope::Building,
+                        ReachText::Everywhere => DependencyScope::Everywhere,
                     };
-                    Ok(Need { service: of, from: need.from, to: need.to.unwrap_or(u32::MAX), reach })
+                    Ok(Dependency {
+                        service: of,
+                        min_build: need.from,
+                        max_build: need.to.unwrap_or(u32::MAX),
+                        scope,
+                    })
                 });
-                let needs = needs.collect::<Result<Vec<_>, String>>()?;
-                editions.insert(Edition { service, build: number }, Plan { needs, released: plan.released });
+                let dependencies = dependencies.collect::<Result<Vec<_>, String>>()?;
+                editions.insert(
+                    Edition { service, build: number },
+                    EditionSpec { dependencies, released: plan.released },
+                );
             }
         }
         let mut model = Model {
@@ -289,8 +304,8 @@
             buildings: raw.buildings,
             customers,
             tranches,
-            homes,
-            tranche: (raw.tranche_minutes * 60.0) as i64,
+            customer_buildings,
+            min_tranche_s: (raw.tranche_minutes * 60.0) as i64,
             one_by_one: raw.one_by_one,
             editions,
             budgets: Budgets { overall: raw.budgets.overall, building: raw.budgets.building },
@@ -298,14 +313,14 @@
             exemptions: Vec::new(),
         };
         for text in &raw.freezes {
-            let freeze = freeze(&model, &zone, text).map_err(|why| wrong("freezes", why))?;
+            let freeze = parse_freeze(&model, &zone, text).map_err(|why| wrong("freezes", why))?;
             model.freezes.push(freeze);
         }
         for text in &raw.exemptions {
-            let exemption = exemption(&model, &zone, text).map_err(|why| wrong("exemptions", why))?;
+            let exemption = parse_exemption(&model, &zone, text).map_err(|why| wrong("exemptions", why))?;
             model.exemptions.push(exemption);
         }
-        model.check().map_err(|(field, why)| wrong(&field, why))?;
+        model.validate().map_err(|(field, why)| wrong(&field, why))?;
         let (journal, table_life_ms, grace_s) = (raw.journal.into(), raw.table_life_ms, raw.grace_s);
         Ok(Settings { service, journal, admin, table_life_ms, grace_s, model, zone })
     }
--- a/crates/releases-server/tests/gate.rs
+++ b/crates/releases-server/tests/gate.rs
@@ -3,10 +3,10 @@
 use crossbeam_channel::{bounded, unbounded, Receiver, Sender};
 use milletwing_decision::interface::{Build, Event, PermitTable, TenantId, ZoneId};
 use milletwing_marshal::stage::{Note, Watching};
-use milletwing_releases::engine::{Change, Engine, Now, State, Verdict};
+use milletwing_releases::engine::{Change, ClockReading, Engine, State, Verdict};
 use milletwing_releases::model::Edition;
 use milletwing_releases_server::journal::Journal;
-use milletwing_releases_server::{chart, host, Call, Host, Record, Settings};
+use milletwing_releases_server::{chart, host, AdminRequest, Host, Settings, SharedRecord};
 use milletwing_toy::Folder;
 use std::path::Path;
 use std::sync::{Arc, Mutex};
@@ -16,7 +16,7 @@
 
 #[test]
 fn the_operators_file_is_checked_and_errors_name_field_and_line() {
-    let whole = Settings::read(SHIPPED).unwrap();
+    let whole = Settings::parse(SHIPPED).unwrap();
     assert!(
         whole.summary().contains("gates service pedidos by 2 services, 4 editions (2 to go out)"),
         "{}",
@@ -60,7 +60,7 @@
         ("grace_s: 1", "grace: 1", "unknown field"),
     ] {
         assert!(SHIPPED.contains(from), "{from}");
-        let why = Settings::read(&SHIPPED.replacen(from, to, 1)).expect_err(to);
+        let why = Settings::parse(&SHIPPED.replacen(from, to, 1)).expect_err(to);
         assert!(why.contains(told) && why.contains("line"), "{to}: {why}");
     }
     let plan =
@@ -68,7 +68,7 @@
     assert_eq!(plan["steps"].as_array().unwrap().len(), 8);
     let schedule =
         milletwing_releases::planner::Planner::new(&whole.model, &State::default(), 0).unwrap().schedule();
-    let svg = chart::draw(&whole.model, &schedule, 0).unwrap();
+    let svg = chart::render_svg(&whole.model, &schedule, 0).unwrap();
     assert!(svg.starts_with("<svg") && svg.contains("prensa 7") && svg.contains("nave-2"));
 }
 
@@ -86,12 +86,12 @@
     for number in 1..=50 {
         let changes: Vec<Change> = (number * 100..number * 100 + 100).map(Change::Table).collect();
         changes.iter().for_each(|change| state.apply(change));
-        journal.write(&changes, &state).unwrap();
+        journal.append(&changes, &state).unwrap();
     }
     let edition = Edition { service: 0, build: 2 };
-    let change = Change::Verdict(edition, Verdict::Back);
+    let change = Change::Verdict(edition, Verdict::Revert);
     state.apply(&change);
-    journal.write(&[change], &state).unwrap();
+    journal.append(&[change], &state).unwrap();
     assert!(Journal::open(&path, &names()).err().unwrap().contains("already open"));
     drop(journal);
     let (journal, again, _) = Journal::open(&path, &names()).unwrap();
@@ -193,9 +193,9 @@
         "{table:?} {last:?}"
     );
     // Operators add what lasts, and hear why not.
-    let call = |call: &Call| milletwing_admin::call(again.admin, call);
+    let call = |call: &AdminRequest| milletwing_admin::call(again.admin, call);
     let freeze = |name: &str, to: &str| {
-        Call::Freeze(milletwing_releases_server::settings::FreezeText {
+        AdminRequest::Freeze(milletwing_releases_server::settings::FreezeSettings {
             name: name.into(),
             services: vec!["pedidos".into()],
             buildings: Vec::new(),
@@ -208,7 +208,7 @@
     assert!(call(&freeze("now", "2099-01-01")).is_ok());
     assert!(call(&freeze("now", "2099-01-01")).unwrap_err().contains("already"));
     assert!(call(&freeze("bad", "2019-01-01")).unwrap_err().contains("before it begins"));
-    let explain = |building: Option<&str>| Call::Explain {
+    let explain = |building: Option<&str>| AdminRequest::Explain {
         service: "pedidos".into(),
         build: 2,
         building: building.map(String::from),
@@ -216,18 +216,23 @@
     };
     assert!(call(&explain(None)).unwrap().to_string().contains("\"name\":\"now\""));
     assert!(call(&explain(Some("nave-9"))).unwrap_err().contains("no building nave-9"));
-    let say = |build, verdict: &str| Call::Say { service: "prensa".into(), build, verdict: verdict.into() };
+    let say = |build, verdict: &str| AdminRequest::SetVerdict {
+        service: "prensa".into(),
+        build,
+        verdict: verdict.into(),
+    };
     assert!(call(&say(7, "maybe")).unwrap_err().contains("neither on nor back"));
     assert!(call(&say(8, "back")).unwrap_err().contains("no edition prensa 8"));
     assert!(call(&say(7, "back")).is_ok());
-    let gone = || call(&Call::Status).unwrap()["editions"].to_string().matches("withdrawn").count() == 4;
+    let gone =
+        || call(&AdminRequest::Status).unwrap()["editions"].to_string().matches("withdrawn").count() == 4;
     for _ in 0..2000 {
         if gone() {
             break;
         }
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert!(gone(), "{}", call(&Call::Status).unwrap());
+    assert!(gone(), "{}", call(&AdminRequest::Status).unwrap());
     host.stop();
 }
 
@@ -245,11 +250,11 @@
 
 struct Member(usize, Arc<Mutex<Register>>, Receiver<(u64, Vec<u8>)>);
 
-impl Record for Member {
-    fn leads(&self) -> bool {
+impl SharedRecord for Member {
+    fn is_leader(&self) -> bool {
         self.1.lock().unwrap().leader == self.0
     }
-    fn put(&self, after: u64, number: u64, body: Vec<u8>) {
+    fn propose(&self, after: u64, number: u64, body: Vec<u8>) {
         let mut register = self.1.lock().unwrap();
         if register.lose > 0 {
             register.lose -= 1;
@@ -263,7 +268,7 @@
                 .for_each(|(_, to)| to.send(value.clone()).unwrap());
         }
     }
-    fn kept(&self) -> Receiver<(u64, Vec<u8>)> {
+    fn commits(&self) -> Receiver<(u64, Vec<u8>)> {
         self.2.clone()
     }
 }
@@ -292,7 +297,11 @@
     };
     let [first, other] = [moving(&told[0]), moving(&told[1])];
     assert_eq!((first.version, &first.in_rollout), (other.version, &other.in_rollout));
-    let say = |verdict: &str| Call::Say { service: "prensa".into(), build: 7, verdict: verdict.into() };
+    let say = |verdict: &str| AdminRequest::SetVerdict {
+        service: "prensa".into(),
+        build: 7,
+        verdict: verdict.into(),
+    };
     let refused = milletwing_admin::call(hosts[1].1, &say("on")).unwrap_err();
     assert!(refused.contains("does not lead its group"), "{refused}");
     milletwing_admin::call(hosts[0].1, &say("on")).unwrap();
@@ -329,9 +338,9 @@
     let settings = settings(&folder.0, "0.02");
     let (mut journal, state, _) = Journal::open(&path, &names()).unwrap();
     let mut engine = Engine::new(settings.model, state, 1000, 1);
-    let changes = engine.tick(Now::at(1_000_000));
+    let changes = engine.tick(ClockReading::at(1_000_000));
     assert!(changes.len() > 1);
-    journal.write(&changes, engine.state()).unwrap();
+    journal.append(&changes, engine.state()).unwrap();
     drop(journal);
     let (_, read, _) = Journal::open(&path, &names()).unwrap();
     assert_eq!(&read, engine.state());
--- a/crates/releases/src/engine.rs
+++ b/crates/releases/src/engine.rs
@@ -8,7 +8,7 @@
 mod withdrawal;
 
 use crate::model::{BuildingId, CustomerId, Edition, Model};
-use crate::units::depth;
+use crate::units::dependency_depths;
 use crate::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,15 +29,18 @@
 
 /// An edition in a building.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Track {
+pub struct Progress {
     /// Its phase.
     pub phase: Phase,
     /// Tranches that are out.
-    pub done: usize,
+    #[serde(rename = "done")]
+    pub tranches_done: usize,
     /// Seconds that the present tranche has been on its way, without those for which it was held.
-    pub spent: i64,
+    #[serde(rename = "spent")]
+    pub elapsed_s: i64,
     /// Since when it has gone on without a change that was written.
-    pub since: Time,
+    #[serde(rename = "since")]
+    pub updated_at: Time,
     /// A freeze holds it where it is.
     pub held: bool,
 }
@@ -46,16 +49,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Verdict {
     /// It may go on.
-    On,
+    #[serde(rename = "On")]
+    Proceed,
     /// It goes back.
-    Back,
+    #[serde(rename = "Back")]
+    Revert,
 }
 
 /// A change, in the order in which they are written. Applied, it gives the state; it holds all it needs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
     /// An edition's track in a building.
-    Track(Edition, BuildingId, Track),
+    #[serde(rename = "Track")]
+    Progress(Edition, BuildingId, Progress),
     /// What is said of an edition.
     Verdict(Edition, Verdict),
     /// A withdrawal begins or goes on: editions that are still to be withdrawn, the next ones first, and from when.
@@ -67,76 +73,80 @@
 /// All that is kept.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    tracks: BTreeMap<(Edition, BuildingId), Track>,
+    #[serde(rename = "tracks")]
+    progress: BTreeMap<(Edition, BuildingId), Progress>,
     verdicts: BTreeMap<Edition, Verdict>,
     /// Editions still to be withdrawn, the next ones first, and from when the next may be.
     pub withdrawing: (Vec<Edition>, Time),
     /// The last table's number.
-    pub table: u64,
+    #[serde(rename = "table")]
+    pub table_number: u64,
 }
 
 impl State {
     /// Takes a change on.
     pub fn apply(&mut self, change: &Change) {
         match change {
-            Change::Track(edition, building, track) => {
-                self.tracks.insert((*edition, *building), *track);
+            Change::Progress(edition, building, progress) => {
+                self.progress.insert((*edition, *building), *progress);
             }
             Change::Verdict(edition, verdict) => {
                 self.verdicts.insert(*edition, *verdict);
             }
             Change::Withdrawal(rest, from) => self.withdrawing = (rest.clone(), *from),
-            Change::Table(number) => self.table = *number,
+            Change::Table(number) => self.table_number = *number,
         }
     }
     /// An edition in a building.
-    pub fn track(&self, edition: Edition, building: BuildingId) -> Track {
-        self.tracks.get(&(edition, building)).copied().unwrap_or_default()
+    pub fn progress(&self, edition: Edition, building: BuildingId) -> Progress {
+        self.progress.get(&(edition, building)).copied().unwrap_or_default()
     }
     /// What is said of it.
     pub fn verdict(&self, edition: Edition) -> Option<Verdict> {
         self.verdicts.get(&edition).copied()
     }
     /// Whether it goes back.
-    pub fn sent_back(&self, edition: Edition) -> bool {
-        self.verdict(edition) == Some(Verdict::Back) || self.withdrawing.0.contains(&edition)
+    pub fn is_reverted(&self, edition: Edition) -> bool {
+        self.verdict(edition) == Some(Verdict::Revert) || self.withdrawing.0.contains(&edition)
     }
 }
 
 /// What is permitted: editions by building and customer. Whatever stands in neither list is forbidden.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Table {
+pub struct ReleaseTable {
     /// Rises with each; an older one never takes a newer one's place.
     pub number: u64,
     /// Milliseconds for which it permits what is on its way; what was released before it permits after that too.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub ttl_ms: u64,
     /// Released before.
     pub released: BTreeSet<(Edition, BuildingId, CustomerId)>,
     /// On its way.
-    pub moving: BTreeSet<(Edition, BuildingId, CustomerId)>,
+    #[serde(rename = "moving")]
+    pub in_rollout: BTreeSet<(Edition, BuildingId, CustomerId)>,
 }
 
 /// The time, by two clocks. Where they part, a freeze that either shows is in force: guards against a wall clock set
 /// back into a freeze that is over for nobody else, or forward past one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Now {
+pub struct ClockReading {
     /// The wall clock.
     pub wall: Time,
     /// What it would show had it run as the steady clock since the start.
-    pub steady: Time,
+    pub monotonic: Time,
 }
 
-impl Now {
+impl ClockReading {
     /// One clock, which both show.
-    pub fn at(time: Time) -> Now {
-        Now { wall: time, steady: time }
+    pub fn at(time: Time) -> ClockReading {
+        ClockReading { wall: time, monotonic: time }
     }
 }
 
 /// Why an edition waits in a building.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "why", rename_all = "snake_case")]
-pub enum Wait {
+pub enum WaitReason {
     /// It was sent back, or goes back with what it needs.
     SentBack,
     /// A freeze holds it.
@@ -182,18 +192,18 @@
     model: Model,
     state: State,
     /// Milliseconds for which a table permits what is on its way.
-    life: u64,
+    ttl_ms: u64,
     /// Seconds between one level of a withdrawal and the next.
-    grace: i64,
+    withdrawal_grace_s: i64,
     depth: BTreeMap<Edition, usize>,
-    now: Now,
+    now: ClockReading,
 }
 
 impl Engine {
     /// Goes on from a state; whatever the model holds that the state doesn't know waits.
-    pub fn new(model: Model, state: State, life: u64, grace: i64) -> Engine {
-        let depth = depth(&model);
-        Engine { model, state, life, grace, depth, now: Now::at(0) }
+    pub fn new(model: Model, state: State, ttl_ms: u64, withdrawal_grace_s: i64) -> Engine {
+        let depth = dependency_depths(&model);
+        Engine { model, state, ttl_ms, withdrawal_grace_s, depth, now: ClockReading::at(0) }
     }
 
     /// The model.
@@ -208,11 +218,11 @@
 
     /// Takes another model on: freezes, exemptions, budgets, editions, where customers are served. What is out stays out;
     /// a table that shows something else has another number.
-    pub fn set(&mut self, model: Model) -> Vec<Change> {
-        let before = self.permitted();
-        self.depth = depth(&model);
+    pub fn replace_model(&mut self, model: Model) -> Vec<Change> {
+        let before = self.release_table();
+        self.depth = dependency_depths(&model);
         self.model = model;
-        if self.permitted() == before {
+        if self.release_table() == before {
             return Vec::new();
         }
         self.renumber()
@@ -221,41 +231,42 @@
     /// A new number for the table: the file may have changed since the last one was told.
     pub fn renumber(&mut self) -> Vec<Change> {
         let mut out = Vec::new();
-        self.change(Change::Table(self.state.table + 1), &mut out);
+        self.record(Change::Table(self.state.table_number + 1), &mut out);
         out
     }
 
     /// The time that answers about freezes are given for.
-    pub fn look(&mut self, now: Now) {
+    pub fn set_time(&mut self, now: ClockReading) {
         self.now = now;
     }
 
-    fn change(&mut self, change: Change, out: &mut Vec<Change>) {
+    fn record(&mut self, change: Change, out: &mut Vec<Change>) {
         self.state.apply(&change);
         out.push(change);
     }
 
     /// What the decision module or the platform says. Back stands above all, and takes with it what needs the edition.
-    pub fn verdict(&mut self, edition: Edition, verdict: Verdict, now: Now) -> Vec<Change> {
+    pub fn record_verdict(&mut self, edition: Edition, verdict: Verdict, now: ClockReading) -> Vec<Change> {
         self.now = now;
         let mut out = Vec::new();
-        if !self.model.editions.contains_key(&edition) || self.state.verdict(edition) == Some(Verdict::Back) {
+        if !self.model.editions.contains_key(&edition) || self.state.verdict(edition) == Some(Verdict::Revert)
+        {
             return out;
         }
         if self.state.verdict(edition) != Some(verdict) {
-            self.change(Change::Verdict(edition, verdict), &mut out);
+            self.record(Change::Verdict(edition, verdict), &mut out);
         }
-        self.doom(&mut out);
-        self.table(&mut out);
+        self.start_withdrawals(&mut out);
+        self.renumber_if_changed(&mut out);
         out
     }
 
     /// Looks at the time: tranches go on, are held, go back or complete; what may begins; withdrawals go on.
-    pub fn tick(&mut self, now: Now) -> Vec<Change> {
+    pub fn tick(&mut self, now: ClockReading) -> Vec<Change> {
         let mut out = Vec::new();
         self.now = now;
-        self.doom(&mut out);
-        self.withdraw(&mut out);
+        self.start_withdrawals(&mut out);
+        self.advance_withdrawal(&mut out);
         let keys: Vec<(Edition, BuildingId)> = (self.model.editions.iter())
             .filter(|(_, plan)| !plan.released)
             .flat_map(|(edition, _)| {
@@ -263,33 +274,34 @@
             })
             .collect();
         for (edition, building) in &keys {
-            self.go_on(*edition, *building, &mut out);
+            self.advance_tranche(*edition, *building, &mut out);
         }
         for (edition, building) in keys {
-            self.begin(edition, building, &mut out);
+            self.start_unit(edition, building, &mut out);
         }
-        self.table(&mut out);
+        self.renumber_if_changed(&mut out);
         out
     }
 
     /// The table in force.
-    pub fn permitted(&self) -> Table {
-        let mut table = Table { number: self.state.table, life: self.life, ..Table::default() };
+    pub fn release_table(&self) -> ReleaseTable {
+        let mut table =
+            ReleaseTable { number: self.state.table_number, ttl_ms: self.ttl_ms, ..ReleaseTable::default() };
         for (edition, plan) in &self.model.editions {
             for building in 0..self.model.buildings.len() {
-                let track = self.state.track(*edition, building);
-                if track.phase == Phase::Withdrawn {
+                let progress = self.state.progress(*edition, building);
+                if progress.phase == Phase::Withdrawn {
                     continue;
                 }
                 for (tranche, customers) in self.model.tranches.iter().enumerate() {
-                    let out = plan.released || track.done > tranche;
-                    let moving = track.phase == Phase::Moving && track.done == tranche;
-                    for customer in customers.iter().filter(|c| self.model.at_home(**c, building)) {
+                    let out = plan.released || progress.tranches_done > tranche;
+                    let moving = progress.phase == Phase::Moving && progress.tranches_done == tranche;
+                    for customer in customers.iter().filter(|c| self.model.is_served_in(**c, building)) {
                         let entry = (*edition, building, *customer);
                         if out {
                             table.released.insert(entry);
                         } else if moving {
-                            table.moving.insert(entry);
+                            table.in_rollout.insert(entry);
                         }
                     }
                 }
--- a/crates/releases/src/lib.rs
+++ b/crates/releases/src/lib.rs
@@ -6,12 +6,12 @@
 //! only narrows: how far a release goes is the decision module's.
 
 pub mod calendar;
-mod check;
 pub mod engine;
 pub mod model;
 pub mod names;
 pub mod planner;
 pub mod units;
+mod validation;
 
 /// Seconds of Unix time.
 pub type Time = i64;
--- a/crates/releases/src/model.rs
+++ b/crates/releases/src/model.rs
@@ -6,7 +6,7 @@
 
 /// Where what an edition needs must be out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum Reach {
+pub enum DependencyScope {
     /// In the same building.
     #[default]
     Building,
@@ -16,29 +16,29 @@
 
 /// An edition needs another service's, of a range of builds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Need {
+pub struct Dependency {
     /// The other service.
     pub service: ServiceId,
     /// Its least build.
-    pub from: u32,
+    pub min_build: u32,
     /// Its highest build.
-    pub to: u32,
+    pub max_build: u32,
     /// Where.
-    pub reach: Reach,
+    pub scope: DependencyScope,
 }
 
-impl Need {
+impl Dependency {
     /// Whether an edition would do.
-    pub fn met_by(&self, edition: Edition) -> bool {
-        edition.service == self.service && (self.from..=self.to).contains(&edition.build)
+    pub fn is_satisfied_by(&self, edition: Edition) -> bool {
+        edition.service == self.service && (self.min_build..=self.max_build).contains(&edition.build)
     }
 }
 
 /// An edition that is to be released, or was.
 #[derive(Clone, Debug, Default)]
-pub struct Plan {
+pub struct EditionSpec {
     /// What it needs.
-    pub needs: Vec<Need>,
+    pub dependencies: Vec<Dependency>,
     /// It was out before the plan began, everywhere.
     pub released: bool,
 }
@@ -64,13 +64,13 @@
     /// The customers of each tranche; each customer in one.
     pub tranches: Vec<Vec<CustomerId>>,
     /// Where a customer is served; more than one building, or all where it is empty.
-    pub homes: Vec<Vec<BuildingId>>,
+    pub customer_buildings: Vec<Vec<BuildingId>>,
     /// Seconds that a tranche takes at least.
-    pub tranche: i64,
+    pub min_tranche_s: i64,
     /// A building is entered only once the one before is done with an edition.
     pub one_by_one: bool,
     /// The editions.
-    pub editions: BTreeMap<Edition, Plan>,
+    pub editions: BTreeMap<Edition, EditionSpec>,
     /// Budgets.
     pub budgets: Budgets,
     /// Freezes.
@@ -81,19 +81,19 @@
 
 impl Model {
     /// An edition's name.
-    pub fn name(&self, edition: Edition) -> String {
+    pub fn edition_name(&self, edition: Edition) -> String {
         format!("{} {}", self.services.get(edition.service).map_or("?", String::as_str), edition.build)
     }
 
     /// Whether a customer is served in a building.
-    pub fn at_home(&self, customer: CustomerId, building: BuildingId) -> bool {
-        self.homes[customer].is_empty() || self.homes[customer].contains(&building)
+    pub fn is_served_in(&self, customer: CustomerId, building: BuildingId) -> bool {
+        self.customer_buildings[customer].is_empty() || self.customer_buildings[customer].contains(&building)
     }
 
     /// Editions of the model that a need could be met by.
-    pub fn meeting(&self, need: Need) -> impl Iterator<Item = Edition> + '_ {
-        let from = Edition { service: need.service, build: need.from };
-        let to = Edition { service: need.service, build: need.to };
+    pub fn editions_satisfying(&self, need: Dependency) -> impl Iterator<Item = Edition> + '_ {
+        let from = Edition { service: need.service, build: need.min_build };
+        let to = Edition { service: need.service, build: need.max_build };
         self.editions.range(from..=to).map(|(edition, _)| *edition)
     }
 }
--- a/crates/releases/src/planner.rs
+++ b/crates/releases/src/planner.rs
@@ -5,10 +5,10 @@
 //! never ends it later, so some order gives the best finish: small plans search all orders by branch and bound, large
 //! ones try a few by priority.
 
-use crate::calendar::{closed, fit, Closed, Mode};
+use crate::calendar::{earliest_slot, frozen_intervals, FreezeMode, FrozenInterval};
 use crate::engine::{Phase, State};
-use crate::model::{BuildingId, Edition, Model, Reach};
-use crate::units::{units, Unit};
+use crate::model::{BuildingId, DependencyScope, Edition, Model};
+use crate::units::{ordered_units, Unit};
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -35,11 +35,11 @@
     /// When all is out.
     pub finish: Time,
     /// No plan finishes before.
-    pub bound: Time,
+    pub lower_bound: Time,
     /// Whether no plan finishes sooner, for certain.
-    pub best: bool,
+    pub optimal: bool,
     /// Editions that this plan can't finish, and why.
-    pub stuck: Vec<(Edition, String)>,
+    pub unschedulable: Vec<(Edition, String)>,
 }
 
 /// How far ahead freezes are looked at, in seconds: two years. What has not gone out by then is stuck.
@@ -54,7 +54,7 @@
     unit: usize,
     building: BuildingId,
     /// Its closed times and length by tranche; none where the tranche is out already.
-    tranches: Vec<Option<(Vec<Closed>, i64)>>,
+    tranches: Vec<Option<(Vec<FrozenInterval>, i64)>>,
     /// Jobs that must be done before.
     after: Vec<usize>,
     size: usize,
@@ -75,8 +75,8 @@
         let mut steps = Vec::new();
         let mut at = from;
         for (tranche, part) in self.tranches.iter().enumerate() {
-            if let Some((closed, length)) = part {
-                let (start, end) = fit(closed, at, *length);
+            if let Some((frozen, length)) = part {
+                let (start, end) = earliest_slot(frozen, at, *length);
                 steps.push((tranche, start, end));
                 at = end;
             }
@@ -123,14 +123,14 @@
     overall: Taken,
     buildings: Vec<Taken>,
     placed: Vec<Option<Placed>>,
-    stuck: Vec<(Edition, String)>,
-    best: bool,
+    unschedulable: Vec<(Edition, String)>,
+    optimal: bool,
 }
 
 impl<'a> Planner<'a> {
     /// Plans all that is not out yet. An error where needs can't be put in an order.
     pub fn new(model: &'a Model, state: &State, now: Time) -> Result<Planner<'a>, String> {
-        let all = units(model)?;
+        let all = ordered_units(model)?;
         let open = |edition: &Edition| !model.editions[edition].released;
         let units: Vec<Unit> = all.into_iter().filter(|unit| unit.iter().any(open)).collect();
         let mut planner = Planner {
@@ -141,8 +141,8 @@
             overall: Taken::default(),
             buildings: vec![Taken::default(); model.buildings.len()],
             placed: Vec::new(),
-            stuck: Vec::new(),
-            best: false,
+            unschedulable: Vec::new(),
+            optimal: false,
         };
         planner.jobs(state);
         planner.placed = vec![None; planner.jobs.len()];
@@ -159,53 +159,58 @@
         let unit_of: BTreeMap<Edition, usize> =
             self.units.iter().enumerate().flat_map(|(at, unit)| unit.iter().map(move |e| (*e, at))).collect();
         // Freezes of one scope are worked out once: most tranches share them.
-        let mut known: BTreeMap<(Edition, BuildingId, usize), Vec<Closed>> = BTreeMap::new();
+        let mut known: BTreeMap<(Edition, BuildingId, usize), Vec<FrozenInterval>> = BTreeMap::new();
         for (at, unit) in self.units.iter().enumerate() {
-            let back = unit.iter().find(|edition| state.sent_back(**edition));
+            let back = unit.iter().find(|edition| state.is_reverted(**edition));
             let unmet = unit.iter().find_map(|edition| {
-                let needs = model.editions[edition].needs.iter();
+                let needs = model.editions[edition].dependencies.iter();
                 let gone = |other: Edition| dead.contains(&other);
-                needs.filter(|need| model.meeting(**need).all(gone)).map(|need| (*edition, *need)).next()
+                needs
+                    .filter(|need| model.editions_satisfying(**need).all(gone))
+                    .map(|need| (*edition, *need))
+                    .next()
             });
             let why = match (back, unmet) {
-                (Some(edition), _) => Some(format!("{} was sent back", model.name(*edition))),
+                (Some(edition), _) => Some(format!("{} was sent back", model.edition_name(*edition))),
                 (_, Some((edition, need))) => Some(format!(
                     "{} needs {} {} to {}, and those were sent back",
-                    model.name(edition),
+                    model.edition_name(edition),
                     model.services[need.service],
-                    need.from,
-                    need.to
+                    need.min_build,
+                    need.max_build
                 )),
                 _ => None,
             };
             if let Some(why) = why {
                 dead.extend(unit.iter().copied());
-                self.stuck.extend(unit.iter().map(|edition| (*edition, why.clone())));
+                self.unschedulable.extend(unit.iter().map(|edition| (*edition, why.clone())));
                 continue;
             }
             for building in 0..model.buildings.len() {
                 let mut after = Vec::new();
                 for edition in unit {
-                    let mut wait = |other: Edition, reach: Reach| {
+                    let mut wait = |other: Edition, scope: DependencyScope| {
                         let Some(of) = unit_of.get(&other).filter(|of| **of != at) else { return };
-                        let places = if reach == Reach::Everywhere {
+                        let places = if scope == DependencyScope::Everywhere {
                             0..model.buildings.len()
                         } else {
                             building..building + 1
                         };
                         after.extend(places.filter_map(|place| last.get(&(*of, place)).copied()));
                     };
-                    for need in &model.editions[edition].needs {
-                        if model.meeting(*need).any(|other| model.editions[&other].released) {
+                    for need in &model.editions[edition].dependencies {
+                        if model.editions_satisfying(*need).any(|other| model.editions[&other].released) {
                             continue;
                         }
-                        if let Some(other) = model.meeting(*need).find(|other| !dead.contains(other)) {
-                            wait(other, need.reach);
+                        if let Some(other) =
+                            model.editions_satisfying(*need).find(|other| !dead.contains(other))
+                        {
+                            wait(other, need.scope);
                         }
                     }
                     let before = model.editions.range(..*edition).next_back().map(|(other, _)| *other);
                     if let Some(before) = before.filter(|other| other.service == edition.service) {
-                        wait(before, Reach::Building);
+                        wait(before, DependencyScope::Building);
                     }
                 }
                 if model.one_by_one && building > 0 {
@@ -213,35 +218,38 @@
                 }
                 after.sort_unstable();
                 after.dedup();
-                let tracks: Vec<_> = unit.iter().map(|edition| state.track(*edition, building)).collect();
+                let unit_progress: Vec<_> =
+                    unit.iter().map(|edition| state.progress(*edition, building)).collect();
                 let tranches = (0..model.tranches.len())
                     .map(|tranche| {
-                        if tracks.iter().all(|track| track.phase == Phase::Released || track.done > tranche) {
+                        if unit_progress.iter().all(|progress| {
+                            progress.phase == Phase::Released || progress.tranches_done > tranche
+                        }) {
                             return None;
                         }
-                        let spent = tracks
+                        let elapsed_s = unit_progress
                             .iter()
-                            .map(|t| if t.done == tranche { t.spent } else { 0 })
+                            .map(|t| if t.tranches_done == tranche { t.elapsed_s } else { 0 })
                             .min()
                             .unwrap_or(0);
                         let mut spans = Vec::new();
                         for edition in unit {
                             let of = (*edition, building, tranche);
-                            let closed = known.entry(of).or_insert_with(|| {
+                            let frozen = known.entry(of).or_insert_with(|| {
                                 let customers = &model.tranches[tranche];
-                                closed(
+                                frozen_intervals(
                                     &model.freezes,
                                     &model.exemptions,
                                     (*edition, building, customers),
                                     span,
                                 )
                             });
-                            spans.extend(closed.iter().copied());
+                            spans.extend(frozen.iter().copied());
                         }
-                        Some((join(spans), (model.tranche - spent).max(1)))
+                        Some((join(spans), (model.min_tranche_s - elapsed_s).max(1)))
                     })
                     .collect();
-                let begun = tracks.iter().any(|track| track.phase == Phase::Moving);
+                let begun = unit_progress.iter().any(|progress| progress.phase == Phase::Moving);
                 last.insert((at, building), self.jobs.len());
                 self.jobs.push(Job { unit: at, building, tranches, after, size: unit.len(), begun });
             }
@@ -359,21 +367,21 @@
         }
         let Some((finish, rank)) = best else { return };
         self.by_priority(&rank);
-        if finish <= self.bound() {
-            self.best = true;
+        if finish <= self.lower_bound() {
+            self.optimal = true;
         } else if self.jobs.len() <= SMALL {
             let mut search =
                 Search { least: finish, placed: self.placed.clone(), nodes: 0, tails: tails.clone() };
             self.clear();
             search.branch(self, self.now);
-            self.best = search.nodes < NODES;
+            self.optimal = search.nodes < NODES;
             self.placed = search.placed;
         }
     }
 
     /// No plan finishes before: the longest chain with its freezes, and the work of each building and of all over what
     /// their budgets take at a time.
-    pub fn bound(&self) -> Time {
+    pub fn lower_bound(&self) -> Time {
         let mut ends: Vec<Time> = Vec::with_capacity(self.jobs.len());
         for job in &self.jobs {
             let from = job.after.iter().map(|before| ends[*before]).fold(self.now, Time::max);
@@ -381,12 +389,12 @@
         }
         let chain = ends.iter().copied().fold(self.now, Time::max);
         let all: Vec<&Job> = self.jobs.iter().collect();
-        let mut bound = chain.max(self.over(&all, self.model.budgets.overall));
+        let mut lower_bound = chain.max(self.over(&all, self.model.budgets.overall));
         for building in 0..self.model.buildings.len() {
             let here: Vec<&Job> = self.jobs.iter().filter(|job| job.building == building).collect();
-            bound = bound.max(self.over(&here, self.model.budgets.building));
+            lower_bound = lower_bound.max(self.over(&here, self.model.budgets.building));
         }
-        bound
+        lower_bound
     }
 
     /// No sooner are jobs done of which `most` fit beside one another: their work over that, in the time in which not
@@ -396,10 +404,10 @@
         let mut parts = 0;
         let mut edges: BTreeMap<Time, i64> = BTreeMap::new();
         for job in jobs {
-            for (closed, length) in job.tranches.iter().flatten() {
+            for (frozen, length) in job.tranches.iter().flatten() {
                 work += length * job.size as i64;
                 parts += 1;
-                for span in closed.iter().filter(|span| span.mode != Mode::Finish) {
+                for span in frozen.iter().filter(|span| span.mode != FreezeMode::Finish) {
                     *edges.entry(span.from.max(self.now)).or_default() += 1;
                     *edges.entry(span.to.max(self.now)).or_default() -= 1;
                 }
@@ -420,12 +428,12 @@
     /// The schedule as it stands.
     pub fn schedule(&self) -> Schedule {
         let mut steps = Vec::new();
-        let mut stuck = self.stuck.clone();
+        let mut unschedulable = self.unschedulable.clone();
         let mut finish = self.now;
         for (job, placed) in self.jobs.iter().zip(&self.placed) {
             let Some(placed) = placed else {
                 let why = "what it waits for does not end within two years".to_string();
-                stuck.extend(self.units[job.unit].iter().map(|edition| (*edition, why.clone())));
+                unschedulable.extend(self.units[job.unit].iter().map(|edition| (*edition, why.clone())));
                 continue;
             };
             finish = finish.max(placed.end);
@@ -438,14 +446,14 @@
                 steps.extend(placed.steps.iter().map(step));
             }
         }
-        stuck.sort();
-        stuck.dedup();
+        unschedulable.sort();
+        unschedulable.dedup();
         steps.sort_by_key(|step| (step.start, step.edition, step.building, step.tranche));
-        Schedule { steps, finish, bound: self.bound(), best: self.best, stuck }
+        Schedule { steps, finish, lower_bound: self.lower_bound(), optimal: self.optimal, unschedulable }
     }
 
     /// Plans anew only what an edition's change touches: itself and whatever waits for it. The rest stays where it is.
-    pub fn change(&mut self, edition: Edition, state: &State, now: Time) {
+    pub fn replan(&mut self, edition: Edition, state: &State, now: Time) {
         let Some(unit) = self.units.iter().position(|unit| unit.contains(&edition)) else { return };
         let mut touched: BTreeSet<usize> = BTreeSet::new();
         for (at, job) in self.jobs.iter().enumerate() {
@@ -454,14 +462,14 @@
             }
         }
         self.now = now;
-        self.best = false;
+        self.optimal = false;
         touched.iter().for_each(|at| self.lift(*at));
-        let back = self.units[unit].iter().any(|edition| state.sent_back(*edition));
+        let back = self.units[unit].iter().any(|edition| state.is_reverted(*edition));
         for at in touched {
             let job = &mut self.jobs[at];
             let editions = &self.units[job.unit];
             for (tranche, part) in job.tranches.iter_mut().enumerate() {
-                let out = |edition: &Edition| state.track(*edition, job.building).done > tranche;
+                let out = |edition: &Edition| state.progress(*edition, job.building).tranches_done > tranche;
                 if editions.iter().all(out) {
                     *part = None;
                 }
@@ -476,7 +484,7 @@
 }
 
 /// Disjoint closed times of several, the strictest first.
-fn join(mut spans: Vec<Closed>) -> Vec<Closed> {
+fn join(mut spans: Vec<FrozenInterval>) -> Vec<FrozenInterval> {
     spans.sort_by_key(|span| span.from);
     if spans.windows(2).all(|pair| pair[0].to <= pair[1].from) {
         return spans;
@@ -488,7 +496,9 @@
         |a: Time, b: Time| spans.iter().filter(move |s| s.from <= a && b <= s.to).map(|s| s.mode).max();
     edges
         .windows(2)
-        .filter_map(|pair| Some(Closed { from: pair[0], to: pair[1], mode: within(pair[0], pair[1])? }))
+        .filter_map(|pair| {
+            Some(FrozenInterval { from: pair[0], to: pair[1], mode: within(pair[0], pair[1])? })
+        })
         .collect()
 }
 
--- a/crates/releases/src/units.rs
+++ b/crates/releases/src/units.rs
@@ -9,25 +9,25 @@
 pub type Unit = Vec<Edition>;
 
 /// Units in an order in which each comes after what it needs. An error where that can't be.
-pub fn units(model: &Model) -> Result<Vec<Unit>, String> {
-    let (graph, _) = needs(model);
+pub fn ordered_units(model: &Model) -> Result<Vec<Unit>, String> {
+    let (graph, _) = dependency_graph(model);
     let parts = tarjan_scc(&graph);
     // Tarjan gives components after those that they point to; edges point from need to edition.
     Ok(parts.into_iter().rev().map(|part| part.into_iter().map(|node| graph[node]).collect()).collect())
 }
 
-fn needs(model: &Model) -> (DiGraph<Edition, ()>, BTreeMap<Edition, NodeIndex>) {
+fn dependency_graph(model: &Model) -> (DiGraph<Edition, ()>, BTreeMap<Edition, NodeIndex>) {
     let mut graph = DiGraph::new();
     let nodes: BTreeMap<Edition, NodeIndex> =
         model.editions.keys().map(|edition| (*edition, graph.add_node(*edition))).collect();
     for (edition, plan) in model.editions.iter().filter(|(_, plan)| !plan.released) {
-        for need in &plan.needs {
+        for need in &plan.dependencies {
             // The lowest that does: it is out first.
             let out = |other: &Edition| model.editions[other].released;
-            if model.meeting(*need).any(|other| out(&other)) {
+            if model.editions_satisfying(*need).any(|other| out(&other)) {
                 continue;
             }
-            if let Some(other) = model.meeting(*need).next() {
+            if let Some(other) = model.editions_satisfying(*need).next() {
                 graph.add_edge(nodes[&other], nodes[edition], ());
             }
         }
@@ -41,8 +41,8 @@
 }
 
 /// An order in which every edition comes after what it needs, for withdrawals; cycles move as one.
-pub fn depth(model: &Model) -> BTreeMap<Edition, usize> {
-    let (graph, _) = needs(model);
+pub fn dependency_depths(model: &Model) -> BTreeMap<Edition, usize> {
+    let (graph, _) = dependency_graph(model);
     let condensed = petgraph::algo::condensation(graph, true);
     let mut depth: BTreeMap<NodeIndex, usize> = BTreeMap::new();
     for node in toposort(&condensed, None).unwrap_or_default() {
--- a/crates/releases/tests/whole/planner.rs
+++ b/crates/releases/tests/whole/planner.rs
@@ -1,9 +1,9 @@
 use crate::common::*;
-use milletwing_releases::calendar::{closed, fit, Mode};
-use milletwing_releases::engine::{Change, Phase, State, Track, Verdict};
-use milletwing_releases::model::{Budgets, Edition, Model, Plan, Reach};
+use milletwing_releases::calendar::{earliest_slot, frozen_intervals, FreezeMode};
+use milletwing_releases::engine::{Change, Phase, Progress, State, Verdict};
+use milletwing_releases::model::{Budgets, DependencyScope, Edition, EditionSpec, Model};
 use milletwing_releases::planner::{Planner, Schedule, Step};
-use milletwing_releases::units::units;
+use milletwing_releases::units::ordered_units;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -26,26 +26,28 @@
         span.1 = span.1.max(step.end);
         let customers = &model.tranches[step.tranche];
         let of = (step.edition, step.building, customers.as_slice());
-        for span in closed(&model.freezes, &model.exemptions, of, (0, 1 << 30)) {
+        for span in frozen_intervals(&model.freezes, &model.exemptions, of, (0, 1 << 30)) {
             let begins = span.from <= step.start && step.start < span.to;
-            let sent_back = span.mode == Mode::Settle && step.start < span.to && span.from < step.end;
+            let sent_back = span.mode == FreezeMode::Rollback && step.start < span.to && span.from < step.end;
             assert!(!begins && !sent_back, "{step:?} in {span:?}");
         }
     }
     for ((edition, building), (start, _)) in &spans {
-        for need in &model.editions[edition].needs {
-            if model.meeting(*need).any(|other| model.editions[&other].released) {
+        for need in &model.editions[edition].dependencies {
+            if model.editions_satisfying(*need).any(|other| model.editions[&other].released) {
                 continue;
             }
-            let places = if need.reach == Reach::Everywhere {
+            let places = if need.scope == DependencyScope::Everywhere {
                 0..model.buildings.len()
             } else {
                 *building..building + 1
             };
             for place in places {
-                let met = model.meeting(*need).filter_map(|other| Some((other, spans.get(&(other, place))?)));
+                let met = model
+                    .editions_satisfying(*need)
+                    .filter_map(|other| Some((other, spans.get(&(other, place))?)));
                 let with = |other: Edition| {
-                    units(model).unwrap().iter().any(|u| u.contains(edition) && u.contains(&other))
+                    ordered_units(model).unwrap().iter().any(|u| u.contains(edition) && u.contains(&other))
                 };
                 let mut met = met.map(|(other, (_, end))| *end <= *start || with(other));
                 assert!(met.any(|met| met), "{edition:?} at {building} needs {need:?}");
@@ -67,7 +69,7 @@
 
 /// The least finish over all orders in which jobs may be placed, each as early as it fits: by itself, without the planner.
 fn exhaustive(model: &Model) -> i64 {
-    let of = units(model).unwrap();
+    let of = ordered_units(model).unwrap();
     let of: Vec<_> =
         of.into_iter().filter(|unit| unit.iter().any(|edition| !model.editions[edition].released)).collect();
     let jobs: Vec<(usize, usize)> =
@@ -76,9 +78,13 @@
         let (mut at, mut first) = (from, None);
         for customers in &model.tranches {
             // The freezes of tests are for all, so that any edition of the unit tells them.
-            let spans =
-                closed(&model.freezes, &model.exemptions, (unit[0], building, customers), (0, 1 << 30));
-            let (start, end) = fit(&spans, at, model.tranche);
+            let spans = frozen_intervals(
+                &model.freezes,
+                &model.exemptions,
+                (unit[0], building, customers),
+                (0, 1 << 30),
+            );
+            let (start, end) = earliest_slot(&spans, at, model.min_tranche_s);
             first.get_or_insert(start);
             at = end;
         }
@@ -101,11 +107,13 @@
             let mut from = 0;
             let mut ready = true;
             for edition in &of[job.0] {
-                let mut before: Vec<(Edition, Reach)> = model.editions[edition]
-                    .needs
+                let mut before: Vec<(Edition, DependencyScope)> = model.editions[edition]
+                    .dependencies
                     .iter()
-                    .filter(|need| !model.meeting(**need).any(|other| model.editions[&other].released))
-                    .map(|need| (model.meeting(*need).next().unwrap(), need.reach))
+                    .filter(|need| {
+                        !model.editions_satisfying(**need).any(|other| model.editions[&other].released)
+                    })
+                    .map(|need| (model.editions_satisfying(*need).next().unwrap(), need.scope))
                     .collect();
                 before.extend(
                     model
@@ -113,15 +121,18 @@
                         .range(..*edition)
                         .next_back()
                         .filter(|(o, p)| o.service == edition.service && !p.released)
-                        .map(|(o, _)| (*o, Reach::Building)),
+                        .map(|(o, _)| (*o, DependencyScope::Building)),
                 );
-                for (other, reach) in before {
+                for (other, scope) in before {
                     let unit = of.iter().position(|unit| unit.contains(&other)).unwrap();
                     if unit == job.0 {
                         continue;
                     }
-                    let places =
-                        if reach == Reach::Everywhere { 0..model.buildings.len() } else { job.1..job.1 + 1 };
+                    let places = if scope == DependencyScope::Everywhere {
+                        0..model.buildings.len()
+                    } else {
+                        job.1..job.1 + 1
+                    };
                     for place in places {
                         match done.get(&(unit, place)) {
                             Some((_, end)) => from = from.max(*end),
@@ -178,22 +189,23 @@
     m.budgets = Budgets { overall: dice.random_range(2..5), building: dice.random_range(2..4) };
     for service in 1..services {
         if dice.random_bool(0.5) {
-            let reach = if dice.random_bool(0.3) { Reach::Everywhere } else { Reach::Building };
+            let scope =
+                if dice.random_bool(0.3) { DependencyScope::Everywhere } else { DependencyScope::Building };
             let on = dice.random_range(0..service);
-            needs(&mut m, edition(service, 2), need(on, 2, 3, reach));
+            add_dependency(&mut m, edition(service, 2), need(on, 2, 3, scope));
         }
     }
     if dice.random_bool(0.3) && services > 2 {
         // Two that need each other.
         let (a, b) = (edition(0, 2), edition(1, 2));
         for (who, other) in [(a, b), (b, a)] {
-            m.editions.get_mut(&who).unwrap().needs.retain(|need| need.service != other.service);
-            needs(&mut m, who, need(other.service, 2, 2, Reach::Building));
+            m.editions.get_mut(&who).unwrap().dependencies.retain(|need| need.service != other.service);
+            add_dependency(&mut m, who, need(other.service, 2, 2, DependencyScope::Building));
         }
     }
     for at in 0..dice.random_range(0..3) {
         let from = dice.random_range(0..4000);
-        let mode = [Mode::Finish, Mode::Hold, Mode::Settle][dice.random_range(0..3)];
+        let mode = [FreezeMode::Finish, FreezeMode::Hold, FreezeMode::Rollback][dice.random_range(0..3)];
         m.freezes.push(freeze(&format!("f{at}"), from, from + dice.random_range(100..2500), mode));
     }
     m
@@ -204,14 +216,14 @@
     let mut harder = 0;
     for seed in 0..1000 {
         let m = drawn(seed);
-        assert_eq!(m.check(), Ok(()), "seed {seed}");
+        assert_eq!(m.validate(), Ok(()), "seed {seed}");
         let schedule = plan(&m);
         check(&m, &schedule);
-        assert!(schedule.stuck.is_empty());
+        assert!(schedule.unschedulable.is_empty());
         let least = exhaustive(&m);
         assert_eq!(schedule.finish, least, "seed {seed}");
-        assert!(schedule.bound <= least, "seed {seed}");
-        harder += usize::from(schedule.bound < least);
+        assert!(schedule.lower_bound <= least, "seed {seed}");
+        harder += usize::from(schedule.lower_bound < least);
     }
     assert!(harder > 50, "only {harder} needed a search");
 }
@@ -221,16 +233,16 @@
     let mut m = model(services, buildings);
     m.customers = (0..50).map(|at| format!("c{at}")).collect();
     m.tranches = (0..4).map(|t| (0..50).filter(|c| c % 4 == t).collect()).collect();
-    m.homes = vec![Vec::new(); 50];
+    m.customer_buildings = vec![Vec::new(); 50];
     m.budgets = Budgets { overall: buildings * 6, building: 8 };
     for service in 1..services {
         for _ in 0..dice.random_range(0..3) {
             let on = dice.random_range(service.saturating_sub(20)..service);
-            needs(&mut m, edition(service, 2), need(on, 2, 2, Reach::Building));
+            add_dependency(&mut m, edition(service, 2), need(on, 2, 2, DependencyScope::Building));
         }
     }
     m.freezes = (0..10)
-        .map(|day| freeze(&format!("f{day}"), 20_000 + day * 86_400, 40_000 + day * 86_400, Mode::Hold))
+        .map(|day| freeze(&format!("f{day}"), 20_000 + day * 86_400, 40_000 + day * 86_400, FreezeMode::Hold))
         .collect();
     m
 }
@@ -247,16 +259,21 @@
         schedule.steps.len(),
         began.elapsed(),
         schedule.finish,
-        schedule.bound
+        schedule.lower_bound
     );
     check(&m, &schedule);
     assert_eq!(schedule.steps.len(), 60 * 10 * 4);
-    assert!(schedule.finish as f64 <= schedule.bound as f64 * 1.1, "{} {}", schedule.finish, schedule.bound);
+    assert!(
+        schedule.finish as f64 <= schedule.lower_bound as f64 * 1.1,
+        "{} {}",
+        schedule.finish,
+        schedule.lower_bound
+    );
     // The last service is sent back: nothing else moves.
     let mut state = State::default();
     let last = edition(59, 2);
-    state.apply(&Change::Verdict(last, Verdict::Back));
-    planner.change(last, &state, 0);
+    state.apply(&Change::Verdict(last, Verdict::Revert));
+    planner.replan(last, &state, 0);
     let after = planner.schedule();
     let rest = |schedule: &Schedule| {
         schedule.steps.iter().filter(|step| step.edition != last).cloned().collect::<Vec<_>>()
@@ -268,28 +285,28 @@
 #[test]
 fn what_is_out_is_not_planned_again_and_what_can_t_finish_is_told() {
     let mut m = model(3, 1);
-    needs(&mut m, edition(1, 2), need(0, 2, 2, Reach::Building));
-    needs(&mut m, edition(2, 2), need(1, 2, 2, Reach::Everywhere));
+    add_dependency(&mut m, edition(1, 2), need(0, 2, 2, DependencyScope::Building));
+    add_dependency(&mut m, edition(2, 2), need(1, 2, 2, DependencyScope::Everywhere));
     let mut state = State::default();
-    state.apply(&Change::Track(
+    state.apply(&Change::Progress(
         edition(0, 2),
         0,
-        Track { phase: Phase::Moving, done: 1, spent: 200, ..Track::default() },
+        Progress { phase: Phase::Moving, tranches_done: 1, elapsed_s: 200, ..Progress::default() },
     ));
     let schedule = Planner::new(&m, &state, 5000).unwrap().schedule();
     let first = &schedule.steps[0];
     assert_eq!((first.edition, first.tranche, first.start, first.end), (edition(0, 2), 1, 5000, 5400));
     assert_eq!(schedule.finish, 5400 + 4 * 600);
-    state.apply(&Change::Verdict(edition(0, 2), Verdict::Back));
+    state.apply(&Change::Verdict(edition(0, 2), Verdict::Revert));
     let schedule = Planner::new(&m, &state, 5000).unwrap().schedule();
     assert!(schedule.steps.is_empty());
-    let told: Vec<&str> = schedule.stuck.iter().map(|(_, why)| why.as_str()).collect();
+    let told: Vec<&str> = schedule.unschedulable.iter().map(|(_, why)| why.as_str()).collect();
     assert!(told[0].contains("s0 2 was sent back") && told[1].contains("s1 2 needs s0 2 to 2"), "{told:?}");
     assert_eq!(told.len(), 3);
     // A freeze without end in sight.
     let mut m = model(1, 1);
-    m.freezes.push(freeze("ever", 0, 100 * 366 * 86_400, Mode::Hold));
-    assert!(plan(&m).stuck[0].1.contains("two years"));
+    m.freezes.push(freeze("ever", 0, 100 * 366 * 86_400, FreezeMode::Hold));
+    assert!(plan(&m).unschedulable[0].1.contains("two years"));
 }
 
 #[test]
@@ -297,24 +314,28 @@
     let wrong = |change: &dyn Fn(&mut Model)| {
         let mut m = model(2, 1);
         change(&mut m);
-        m.check().unwrap_err()
+        m.validate().unwrap_err()
     };
-    let (field, why) = wrong(&|m| needs(m, edition(1, 2), need(0, 5, 9, Reach::Building)));
+    let (field, why) = wrong(&|m| add_dependency(m, edition(1, 2), need(0, 5, 9, DependencyScope::Building)));
     assert!(field == "needs" && why.contains("no edition is in that range"), "{why}");
-    assert!(wrong(&|m| needs(m, edition(1, 2), need(0, 5, 4, Reach::Building))).1.contains("empty range"));
-    assert!(wrong(&|m| needs(m, edition(1, 2), need(1, 1, 1, Reach::Building)))
+    assert!(wrong(&|m| add_dependency(m, edition(1, 2), need(0, 5, 4, DependencyScope::Building)))
+        .1
+        .contains("empty range"));
+    assert!(wrong(&|m| add_dependency(m, edition(1, 2), need(1, 1, 1, DependencyScope::Building)))
         .1
         .contains("its own service"));
     assert!(wrong(&|m| m.budgets.overall = 0).1.contains("nothing"));
     assert!(wrong(&|m| m.tranches[0].push(1)).1.contains("stands in 2 tranches"));
     let (field, why) = wrong(&|m| {
         m.budgets.building = 1;
-        needs(m, edition(1, 2), need(0, 2, 2, Reach::Building));
-        needs(m, edition(0, 2), need(1, 2, 2, Reach::Building));
+        add_dependency(m, edition(1, 2), need(0, 2, 2, DependencyScope::Building));
+        add_dependency(m, edition(0, 2), need(1, 2, 2, DependencyScope::Building));
     });
     assert!(field == "budgets" && why.contains("move together"), "{why}");
-    assert!(wrong(&|m| m.freezes.push(freeze("back", 10, 10, Mode::Hold))).1.contains("before it begins"));
+    assert!(wrong(&|m| m.freezes.push(freeze("back", 10, 10, FreezeMode::Hold)))
+        .1
+        .contains("before it begins"));
     let mut m = model(2, 1);
-    m.editions.insert(edition(0, 3), Plan::default());
-    assert_eq!(m.check(), Ok(()));
+    m.editions.insert(edition(0, 3), EditionSpec::default());
+    assert_eq!(m.validate(), Ok(()));
 }
--- a/crates/trials/src/measure.rs
+++ b/crates/trials/src/measure.rs
@@ -5,9 +5,9 @@
     Outcome as Verdict_, PermitTable, RequestId, RetrySafety, Settings, TenantId, ZoneId,
 };
 use milletwing_decision::Marshal;
-use milletwing_releases::calendar::{Freeze, Mode, Scope, Span};
+use milletwing_releases::calendar::{Freeze, FreezeMode, FreezePeriod, FreezeScope};
 use milletwing_releases::engine::{Change, State, Verdict};
-use milletwing_releases::model::{Budgets, Edition, Model, Need, Plan, Reach};
+use milletwing_releases::model::{Budgets, Dependency, DependencyScope, Edition, EditionSpec, Model};
 use milletwing_releases::planner::Planner;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -27,8 +27,8 @@
         tranches: (0..4)
             .map(|tranche| (0..50).filter(|customer| customer % 4 == tranche).collect())
             .collect(),
-        homes: vec![Vec::new(); 50],
-        tranche: 600,
+        customer_buildings: vec![Vec::new(); 50],
+        min_tranche_s: 600,
         one_by_one: false,
         editions: Default::default(),
         budgets: Budgets { overall: buildings * 6, building: 8 },
@@ -39,10 +39,19 @@
         let mut needs = Vec::new();
         for _ in 0..if service > 0 { dice.random_range(0..3) } else { 0 } {
             let on = dice.random_range(service.saturating_sub(20)..service);
-            needs.push(Need { service: on, from: 2, to: 2, reach: Reach::Building });
+            needs.push(Dependency {
+                service: on,
+                min_build: 2,
+                max_build: 2,
+                scope: DependencyScope::Building,
+            });
         }
-        model.editions.insert(Edition { service, build: 1 }, Plan { released: true, ..Plan::default() });
-        model.editions.insert(Edition { service, build: 2 }, Plan { needs, released: false });
+        model
+            .editions
+            .insert(Edition { service, build: 1 }, EditionSpec { released: true, ..EditionSpec::default() });
+        model
+            .editions
+            .insert(Edition { service, build: 2 }, EditionSpec { dependencies: needs, released: false });
     }
     let zone = jiff::tz::TimeZone::UTC;
     for day in 0..30 {
@@ -52,9 +61,9 @@
                 .to_zoned(zone.clone())
                 .datetime()
         };
-        let span = Span::Once(at(20_000), at(40_000));
-        let (name, scope, mode) = (format!("night-{day}"), Scope::default(), Mode::Hold);
-        model.freezes.push(Freeze { name, scope, span, mode, zone: zone.clone() });
+        let period = FreezePeriod::Once(at(20_000), at(40_000));
+        let (name, scope, mode) = (format!("night-{day}"), FreezeScope::default(), FreezeMode::Hold);
+        model.freezes.push(Freeze { name, scope, period, mode, zone: zone.clone() });
     }
     model
 }
@@ -71,15 +80,15 @@
     for service in [services / 2, services - 1] {
         let edition = Edition { service, build: 2 };
         let mut state = State::default();
-        state.apply(&Change::Verdict(edition, Verdict::Back));
+        state.apply(&Change::Verdict(edition, Verdict::Revert));
         let from = Instant::now();
-        planner.change(edition, &state, 0);
+        planner.replan(edition, &state, 0);
         again.push(from.elapsed().as_secs_f64() * 1000.0);
     }
     Ok(json!({
         "services": services, "buildings": buildings, "steps": schedule.steps.len(), "plan_ms": plan_ms,
-        "finish_s": schedule.finish, "no_plan_before_s": schedule.bound,
-        "over_the_bound": schedule.finish as f64 / schedule.bound.max(1) as f64, "replan_ms": again,
+        "finish_s": schedule.finish, "no_plan_before_s": schedule.lower_bound,
+        "over_the_bound": schedule.finish as f64 / schedule.lower_bound.max(1) as f64, "replan_ms": again,
     }))
 }
 
--- a/crates/trials/src/releases.rs
+++ b/crates/trials/src/releases.rs
@@ -10,8 +10,8 @@
 use milletwing_marshal::server::{Extras, Gating};
 use milletwing_marshal::stage::{Note, Watching};
 use milletwing_marshal::{Limits, Server};
-use milletwing_releases_server::settings::{FreezeText, Settings};
-use milletwing_releases_server::{Call, Host};
+use milletwing_releases_server::settings::{FreezeSettings, Settings};
+use milletwing_releases_server::{AdminRequest, Host};
 use milletwing_toy::discovery::{Discovery, Host as Listed};
 use milletwing_toy::node::{Node, Reply};
 use milletwing_toy::platform::Platform;
@@ -427,15 +427,22 @@
         let service = dice.random_range(0..SERVICES.len());
         let build = dice.random_range(2..=LAST);
         let say = |verdict: &str| {
-            let call = Call::Say { service: SERVICES[service].into(), build, verdict: verdict.into() };
+            let call = AdminRequest::SetVerdict {
+                service: SERVICES[service].into(),
+                build,
+                verdict: verdict.into(),
+            };
             admin::call(admin_at, &call).is_ok()
         };
         match dice.random_range(0..10) {
             0..=3 => {
                 for (service, build) in (0..SERVICES.len()).flat_map(|s| (2..=LAST).map(move |b| (s, b))) {
                     if dice.random_bool(0.6) {
-                        let call =
-                            Call::Say { service: SERVICES[service].into(), build, verdict: "on".into() };
+                        let call = AdminRequest::SetVerdict {
+                            service: SERVICES[service].into(),
+                            build,
+                            verdict: "on".into(),
+                        };
                         let _ = admin::call(admin_at, &call); // one that was sent back stays so
                     }
                 }
@@ -454,7 +461,7 @@
                     stamp.to_zoned(jiff::tz::TimeZone::UTC).strftime("%FT%T").to_string()
                 };
                 freezes += 1;
-                let text = FreezeText {
+                let text = FreezeSettings {
                     name: format!("drawn-{freezes}"),
                     services: vec![SERVICES[service].into()],
                     buildings: if dice.random_bool(0.5) {
@@ -467,7 +474,7 @@
                     to: clock(dice.random_range(3..6)),
                     mode: ["hold", "settle", "finish"][dice.random_range(0..3)].into(),
                 };
-                admin::call(admin_at, &Call::Freeze(text))?;
+                admin::call(admin_at, &AdminRequest::Freeze(text))?;
             }
             7 => {
                 // The gate and its marshals are killed, and go on from the journal.
@@ -480,7 +487,7 @@
             }
             _ => {
                 let from = Instant::now();
-                if admin::call(admin_at, &Call::Plan).is_ok() {
+                if admin::call(admin_at, &AdminRequest::Plan).is_ok() {
                     plan_ms.push(from.elapsed().as_secs_f64() * 1000.0);
                 }
             }
@@ -493,10 +500,13 @@
     let model = Settings::from_file(&path.display().to_string())?.model;
     let needs: BTreeMap<(usize, u32), (usize, u32, bool)> = (model.editions.iter())
         .filter_map(|(edition, plan)| {
-            let need = plan.needs.first()?;
+            let need = plan.dependencies.first()?;
             let place = |service: usize| SERVICES.iter().position(|name| *name == model.services[service]);
-            let everywhere = need.reach == milletwing_releases::model::Reach::Everywhere;
-            Some(((place(edition.service)?, edition.build), (place(need.service)?, need.from, everywhere)))
+            let everywhere = need.scope == milletwing_releases::model::DependencyScope::Everywhere;
+            Some((
+                (place(edition.service)?, edition.build),
+                (place(need.service)?, need.min_build, everywhere),
+            ))
         })
         .collect();
     let seen = locked(&seen);
@@ -543,10 +553,10 @@
     let until = Instant::now() + Duration::from_secs(60);
     let out = loop {
         for service in SERVICES {
-            let call = Call::Say { service: service.into(), build: 2, verdict: "on".into() };
+            let call = AdminRequest::SetVerdict { service: service.into(), build: 2, verdict: "on".into() };
             admin::call(admin_at, &call)?;
         }
-        let status = admin::call(admin_at, &Call::Status)?;
+        let status = admin::call(admin_at, &AdminRequest::Status)?;
         let rows = status["editions"].as_array().cloned().unwrap_or_default();
         let of = |row: &&Value| row["edition"].as_str().is_some_and(|name| name.ends_with(" 2"));
         if rows.iter().filter(of).all(|row| row["phase"] == "released") {
@@ -606,7 +616,10 @@
             site.serve(service, ear(&host, service))?;
         }
     } else {
-        admin::call(admin_at, &Call::Say { service: SERVICES[0].into(), build: 2, verdict: "back".into() })?;
+        admin::call(
+            admin_at,
+            &AdminRequest::SetVerdict { service: SERVICES[0].into(), build: 2, verdict: "back".into() },
+        )?;
     }
     let decided = began.elapsed();
     std::thread::sleep(Duration::from_secs(5).saturating_sub(decided));
