--- a/crates/releases-server/src/host.rs
+++ b/crates/releases-server/src/host.rs
@@ -4,7 +4,7 @@
 use crate::journal::{Journal, OperatorAdditions};
 use crate::settings::{parse_exemption, parse_freeze, ExemptionSettings, FreezeSettings, Settings};
 use crossbeam_channel::{bounded, never, select, tick, Receiver, Sender};
-use milletwing_admin::Asked;
+use milletwing_admin::PendingCall;
 use milletwing_decision::interface::{
     Build, Event, Ms, PermitTable, Phase as Told, Settings as Decisions, StageReport, TenantId, Vote, ZoneId,
 };
@@ -276,7 +276,11 @@
         ClockReading { wall: wall(), monotonic: self.base.0 + self.base.1.elapsed().as_secs() as i64 }
     }
 
-    fn run(&mut self, heard: &Receiver<Word>, asked: &Receiver<Asked<AdminRequest>>) -> Result<(), String> {
+    fn run(
+        &mut self,
+        heard: &Receiver<Word>,
+        asked: &Receiver<PendingCall<AdminRequest>>,
+    ) -> Result<(), String> {
         let looks = tick(LOOK);
         let told = match &self.kept {
             Kept::Own(_) => never(),
