--- a/crates/drift-detection/src/check.rs
+++ b/crates/drift-detection/src/check.rs
@@ -96,7 +96,7 @@
     reported_at: Millis,
     /// When the edge was last heard.
     heard_at: Millis,
-    /// Since when the edge has been connected and able to follow.
+    /// Since when the edge has been heard without a silence while this machine has heard its leader.
     attached_at: Millis,
 }
 
@@ -144,7 +144,7 @@
             .insert(edge, EdgeRecord { incarnation, reported_at: now, heard_at: now, attached_at: now });
     }
 
-    /// Records a heartbeat of an edge that has applied the log up to `index`. After a silence the allowed lag starts anew, since
+    /// Records a heartbeat of an edge that has applied the log up to `index`. After a silence the allowed lag starts again, since
     /// the edge was suspended or disconnected. `leader_contact` tells whether this machine hears its leader.
     pub fn record_heartbeat(
         &mut self,
--- a/crates/metrics/src/server.rs
+++ b/crates/metrics/src/server.rs
@@ -34,7 +34,7 @@
                     (Rc::clone(&render), Rc::clone(&path), Rc::clone(&open_connections));
                 open_connections.set(open_connections.get() + 1);
                 tokio::task::spawn_local(async move {
-                    connection(stream, &path, render.as_ref()).await;
+                    serve_connection(stream, &path, render.as_ref()).await;
                     open_connections.set(open_connections.get() - 1);
                 });
             }
@@ -45,7 +45,7 @@
 }
 
 /// Serves the requests of one connection.
-pub async fn connection(
+pub async fn serve_connection(
     stream: impl AsyncRead + AsyncWrite + Unpin,
     path: &str,
     render: &(impl Fn() -> String + ?Sized),
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -33,7 +33,7 @@
 }
 
 /// A message between core machines.
-#[allow(missing_docs)] // each variant's line says what its fields are
+#[allow(missing_docs)] // the doc comment of each variant explains its fields
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// A message of the consensus protocol.
@@ -68,7 +68,7 @@
 }
 
 /// A request that is decided by the leader.
-#[allow(missing_docs)] // each variant's line says what its fields are
+#[allow(missing_docs)] // the doc comment of each variant explains its fields
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CoreRequest {
     /// A heartbeat of a marshal that changes the state.
@@ -138,7 +138,7 @@
 }
 
 /// A message to an edge.
-#[allow(missing_docs)] // each variant's line says what its fields are
+#[allow(missing_docs)] // the doc comment of each variant explains its fields
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToEdge {
     /// The whole state, compressed without a reference.
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -299,7 +299,7 @@
 #[test]
 fn heartbeats_configurations_and_settings() {
     let valid = [BEAT, CONFIGURATION, SETTINGS].map(|text| text.as_bytes().to_vec());
-    fuzz("beats, configurations and settings", &valid, |bytes| {
+    fuzz("heartbeats, configurations and settings", &valid, |bytes| {
         let _ = Beat::parse(bytes);
         if Configuration::parse(bytes).is_ok() {
             let command = View::default().configure_command(7, bytes).unwrap();
