--- a/crates/control-plane/tests/control.rs
+++ b/crates/control-plane/tests/control.rs
@@ -122,7 +122,7 @@
     let core = core.borrow();
     assert_eq!(core.view.evacuated.len(), 0, "a zone that was taken back stays empty");
     let history: &History = &callers.history.borrow();
-    history.judge(|version| core.view.took(version.0, &digest(&body(*version))));
+    history.assert_linearizable(|version| core.view.took(version.0, &digest(&body(*version))));
     let last =
         history.changes.iter().filter(|it| it.outcome == Outcome::Acknowledged).map(|it| it.version.0).max();
     assert!(version(&core.view).map_or(0, |version| version.0) >= last.unwrap_or(0));
--- a/crates/control-plane/tests/control/history.rs
+++ b/crates/control-plane/tests/control/history.rs
@@ -40,7 +40,7 @@
 
 impl History {
     /// Judges the register. `taken`: whether the state holds that this version was taken.
-    pub fn judge(&self, taken: impl Fn(&Version) -> bool) {
+    pub fn assert_linearizable(&self, taken: impl Fn(&Version) -> bool) {
         let chain = self.chain(&taken);
         for change in &self.changes {
             let there = chain.contains_key(&change.version.0) && taken(&change.version);
--- a/crates/system/tests/races.rs
+++ b/crates/system/tests/races.rs
@@ -138,7 +138,7 @@
         insist(&cluster, 0, *version, expected) == Outcome::Acknowledged
     };
     let known: Vec<Version> = history.changes.iter().map(|it| it.version).filter(|it| taken(it)).collect();
-    history.judge(|version| known.contains(version));
+    history.assert_linearizable(|version| known.contains(version));
     let acknowledged = history.changes.iter().filter(|it| it.outcome == Outcome::Acknowledged).count();
     assert!(acknowledged >= 20, "{acknowledged} changes acknowledged");
     let newest = known.iter().map(|version| version.0).max();
