--- a/crates/control-plane/src/core.rs
+++ b/crates/control-plane/src/core.rs
@@ -1,20 +1,20 @@
-//! What one machine of the core knows and decides by: the agreement's member, the view folded from its log, and what was
-//! heard of marshals and edges. Inputs come from links, the disk, callers and the clock; after each, `pump` does what has
-//! become possible.
+//! The state of one control-plane replica: the consensus member, the state machine built from its log, and
+//! the status reports of marshals and edges. Inputs come from links, the disk, callers and the clock; after
+//! each input, `advance` does all work that has become possible.
 
+mod apply;
 mod directory;
-mod evidence;
-mod folding;
+mod edge_reports;
 mod membership;
-mod orders;
 mod peers;
+mod requests;
 mod rollouts;
 mod subscriptions;
 
-use crate::calls::Calls;
-use crate::drift::Drift;
+use crate::drift::DriftMonitor;
+use crate::forwarded_calls::ForwardedCalls;
 use crate::metrics::Metrics;
-use membership::Margin;
+use membership::LossMargin;
 use milletwing_config::{event, Settings};
 use milletwing_consensus::{Id, LogPosition, Member, Message, Options, Role};
 use milletwing_drift_detection::Finding;
@@ -22,9 +22,9 @@
 use milletwing_replicated_state::{EdgeStatus, Registry, View};
 use milletwing_sequential_test::{self as sequential_test};
 use milletwing_wire::{Answer, Peer};
-use orders::{reverted_services, Changed, Orders};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use requests::{reverted_services, NewestEntries, ProposedEvacuations};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::path::PathBuf;
@@ -33,148 +33,163 @@
 use tokio::sync::{mpsc, oneshot, Notify};
 use tokio::time::Instant;
 
-/// The one thread's hold on it; never across an await.
-pub type Shared = Rc<RefCell<Core>>;
+/// The shared handle of the single thread; must not be borrowed across an await.
+pub type SharedCore = Rc<RefCell<Core>>;
 /// Milliseconds since the process began.
-pub type Time = u64;
+pub type Millis = u64;
 
-/// Frames that wait for one link.
-const QUEUE: usize = 64;
-/// A leader that was not heard for so long, or entries that lack for half of it, make this machine's word stale.
-const FRESH: Time = 700;
-/// After an edge came, or came back, others are expected for so long.
-const GROWING: Time = 3_000;
-/// A write that takes longer hangs: half of the time after which a silent leader is replaced.
-const HANGS: Time = 300;
-/// Milliseconds between two pulses to edges.
-const PULSE: Time = 200;
-/// Between two times that other machines are told of edges in whole.
-const RETELL: Time = 3_000;
-/// Members at most.
-const MOST_MEMBERS: usize = 9;
-/// Entries, and bytes of them, kept for edges that resume.
-const RECENT: (usize, usize) = (4096, 4 << 20);
+/// Frames that may wait for one link.
+const LINK_QUEUE_FRAMES: usize = 64;
+/// If the leader was not heard from for this long, or log entries have been missing for half of it, this
+/// replica's state counts as stale.
+const FRESHNESS_MS: Millis = 700;
+/// After an edge has arrived or come back, further arrivals are expected for this long.
+const EDGE_ARRIVAL_WINDOW_MS: Millis = 3_000;
+/// A write that takes longer counts as hanging: half of the time after which a silent leader is replaced.
+const WRITE_HANG_TIMEOUT_MS: Millis = 300;
+/// Milliseconds between two status broadcasts to edges.
+const STATUS_INTERVAL_MS: Millis = 200;
+/// Milliseconds between two times that the other replicas are told the full status of all edges.
+const FULL_GOSSIP_INTERVAL_MS: Millis = 3_000;
+/// Maximum number of consensus members.
+const MAX_MEMBERS: usize = 9;
+/// Maximum number of entries, and of their bytes, kept for edges that resume.
+const MAX_RECENT_ENTRIES_AND_BYTES: (usize, usize) = (4096, 4 << 20);
 
-/// A link's queue, and the word that its machine has dialled this one.
+/// A link's queue, and the notification that its replica has dialled this one.
 type Link = (mpsc::Sender<Rc<Vec<u8>>>, Rc<Notify>);
 
-struct Judged {
-    /// Since when this leader has known of it, and of its newest marshal.
-    begun: Time,
-    started: Time,
-    nodes: usize,
+/// A version trial, as judged by the leader.
+struct Trial {
+    /// When this leader first knew of the trial, and when it first saw the trial's newest marshal.
+    known_since: Millis,
+    newest_marshal_since: Millis,
+    marshals: usize,
     tally: sequential_test::Tally,
 }
 
-/// What goes to an edge; a pulse with the time when it was made.
-pub type Word = (Option<Time>, Rc<Vec<u8>>);
+/// A frame for an edge. A status broadcast carries the time when it was made.
+pub type EdgeFrame = (Option<Millis>, Rc<Vec<u8>>);
 
-struct Feed {
+/// The connection of one edge.
+struct EdgeFeed {
     edge: u32,
-    life: u64,
-    /// The last entry that it was sent, and the last that it said to have folded.
-    sent: u64,
-    folded: u64,
-    send: mpsc::Sender<Word>,
+    incarnation: u64,
+    /// The last entry that was sent to the edge, and the last that the edge reported as applied.
+    sent_index: u64,
+    applied_index: u64,
+    sender: mpsc::Sender<EdgeFrame>,
 }
 
 /// A batch that is being written.
-struct Out {
-    /// Where the log ends with it.
-    last: LogPosition,
-    /// What may leave once it is on the disk.
+struct PendingWrite {
+    /// Log position at the end of the batch.
+    log_end: LogPosition,
+    /// Messages that may be sent only once the batch is on disk.
     messages: Vec<(Id, Message)>,
-    /// When it was handed out.
-    since: Time,
+    /// When the batch was handed to the disk thread.
+    handed_out_at: Millis,
 }
 
-/// What the disk gave at the start, and the way to it.
-pub struct Writes {
-    /// What stood on it.
+/// What the log on disk contained at the start, and the channel to the disk thread.
+pub struct LogStorage {
+    /// The log and state found on disk.
     pub stored: milletwing_consensus::Stored,
-    /// Batches to be written, one at a time.
-    pub send: std::sync::mpsc::SyncSender<milletwing_consensus::Batch>,
+    /// Batches to write, one at a time.
+    pub sender: std::sync::mpsc::SyncSender<milletwing_consensus::Batch>,
 }
 
-/// One machine of the core.
+/// One control-plane replica.
 pub struct Core {
-    /// What it was told at its start, and since.
+    /// The settings from the start, with timers updated when the file changes.
     pub settings: Settings,
-    /// When the process began: the clock that all decisions go by.
-    pub began: Instant,
-    /// What it counts for operators.
+    /// When the process began: the reference of the clock used for all decisions.
+    pub started_at: Instant,
+    /// Counters for operators.
     pub metrics: Metrics,
-    /// Its part in the agreement.
+    /// This replica's consensus member.
     pub member: Member,
-    /// The state folded from the log.
+    /// The replicated state, built from the log.
     pub view: View,
-    /// Marshals and edges as they were heard of.
+    /// The last reported status of marshals and edges.
     pub registry: Registry,
-    /// Other machines of the core that were heard of.
-    pub known: Vec<Id>,
+    /// All other replicas that this one has learnt of.
+    pub known_replicas: Vec<Id>,
     links: HashMap<Id, Link>,
-    /// The newest connection that each machine has made to this one.
+    /// The newest connection that each replica has made to this one.
     connections: HashMap<Id, u64>,
-    feeds: BTreeMap<u64, Feed>,
-    next: u64,
-    chance: Pcg64Mcg,
-    recent: VecDeque<(u64, Rc<Vec<u8>>)>,
+    /// Connections of edges, by connection number.
+    feeds: BTreeMap<u64, EdgeFeed>,
+    /// The last number given to a connection, a feed or a read.
+    last_id: u64,
+    rng: Pcg64Mcg,
+    /// The newest applied entries with their index, and their size, kept for edges that resume.
+    recent_entries: VecDeque<(u64, Rc<Vec<u8>>)>,
     recent_bytes: usize,
-    disk: std::sync::mpsc::SyncSender<milletwing_consensus::Batch>,
-    /// The batch that is out.
-    out: Option<Out>,
+    disk_writes: std::sync::mpsc::SyncSender<milletwing_consensus::Batch>,
+    /// The batch that is being written.
+    pending_write: Option<PendingWrite>,
+    /// Callers that wait for the outcome of the entry at an index, each with the term of its entry.
     waiters: BTreeMap<u64, Vec<(u64, oneshot::Sender<Answer>)>>,
-    reads: HashMap<u64, oneshot::Sender<Answer>>,
-    calls: Calls,
-    /// Evacuations that were entered here, by the order's number.
-    orders: Orders,
-    /// SIGTERM has come.
-    leaving: bool,
-    /// Further losses that are borne, as they were told.
-    margin: Margin,
+    /// Reads that wait until this replica may answer them, by number.
+    pending_reads: HashMap<u64, oneshot::Sender<Answer>>,
+    forwarded_calls: ForwardedCalls,
+    /// Evacuation requests that were proposed here, by request number.
+    proposed_evacuations: ProposedEvacuations,
+    /// Set once SIGTERM has been received.
+    shutting_down: bool,
+    /// How many further losses can be tolerated, as last logged.
+    loss_margin: LossMargin,
+    /// Role and leader as last logged.
     role: Role,
     leader: Option<Id>,
-    swept: Time,
-    told: Time,
-    beaten: Time,
-    /// Loads of marshals as edges were told them; and what the edges of this machine met, for the others.
-    board: Board,
-    /// What edges met at hosts, as this machine weighs it while it leads.
-    tally: Tally,
-    met: BTreeMap<u32, (u64, Time, Vec<Observed>)>,
-    /// Whether edges route by what was agreed.
-    pub drift: Drift,
-    /// Edges as the others were told of them in whole, and when all were last.
-    gossiped: BTreeMap<u32, EdgeStatus>,
-    retold: Time,
-    lost: bool,
-    /// Its start is confirmed, as it was told; and up to where its log lacked entries when that was told.
-    confirmed: bool,
-    behind: Option<LogPosition>,
-    members: Vec<Id>,
-    /// Trials under way, as this machine judges them while it leads.
-    trials: BTreeMap<u64, Judged>,
-    /// Edges that took traffic when last looked at, and when one was new among them; at a start, that moment.
-    ready: BTreeSet<u32>,
-    grown: Time,
-    /// The newest entries about zones and about roll-outs, as far as this machine has folded them one by one.
-    changed: Changed,
-    /// When this machine folded the newest order to empty a zone.
-    emptied: BTreeMap<String, Time>,
-    /// Since when a zone waits for its other order to be taken back.
-    lingers: BTreeMap<String, Time>,
-    /// When this machine folded the bad end of a service's roll-out.
-    reverted: BTreeMap<String, Time>,
-    /// When machines asked to be taken in.
-    joins: BTreeMap<Id, Time>,
-    /// The whole state as edges get it, as of an entry: made once for all that ask.
-    whole: Option<(u64, Rc<Vec<u8>>)>,
+    last_periodic_work: Millis,
+    last_gossip: Millis,
+    last_status: Millis,
+    /// The newest loads of marshals.
+    host_loads: Board,
+    /// Evidence about hosts from the observations of all edges, weighed while this replica leads.
+    host_evidence: Tally,
+    /// Observations of this replica's edges that have not been sent to the other replicas yet, with the
+    /// edge's incarnation and the time of the last one.
+    unsent_observations: BTreeMap<u32, (u64, Millis, Vec<Observed>)>,
+    /// Whether edges route by the agreed state.
+    pub drift: DriftMonitor,
+    /// Edges as the other replicas were last told of them, and when the full status was last sent.
+    gossiped_edges: BTreeMap<u32, EdgeStatus>,
+    last_full_gossip: Millis,
+    /// Its disk was lost at the start, and it has not caught up since.
+    disk_lost: bool,
+    /// Whether the confirmed start has been logged, and the log position that this replica was last logged
+    /// to be behind.
+    start_confirmed: bool,
+    logged_behind: Option<LogPosition>,
+    /// Consensus members, as last logged.
+    logged_members: Vec<Id>,
+    /// Version trials in progress, as judged while this replica leads.
+    trials: BTreeMap<u64, Trial>,
+    /// Edges that were ready when last checked, and when a new one last appeared among them; initially the
+    /// start of the process.
+    ready_edges: BTreeSet<u32>,
+    last_edge_arrival: Millis,
+    /// The newest entries about zones and rollouts, as far as this replica has applied them one by one.
+    newest_entries: NewestEntries,
+    /// When this replica applied the newest request to evacuate a zone.
+    evacuated_at: BTreeMap<String, Millis>,
+    /// Since when a zone has had one of its evacuation requests cancelled while another still stands.
+    unmatched_since: BTreeMap<String, Millis>,
+    /// When this replica applied the revert of a service's rollout.
+    reverted_at: BTreeMap<String, Millis>,
+    /// When replicas asked to join.
+    join_requests: BTreeMap<Id, Millis>,
+    /// The full state as sent to edges, as of an entry: encoded once for all edges that need it.
+    full_state_frame: Option<(u64, Rc<Vec<u8>>)>,
 }
 
 impl Core {
-    /// Goes on from what the disk gave. `seed`: drawn by chance at each start of a process. Errors are for operators: what the disk
-    /// gave can't be read.
-    pub fn start(settings: Settings, writes: Writes, seed: u64) -> Result<Shared, String> {
+    /// Resumes from what was found on disk. `seed` is drawn at random at each start of the process. Errors
+    /// are meant for operators: the data found on disk cannot be read.
+    pub fn start(settings: Settings, storage: LogStorage, seed: u64) -> Result<SharedCore, String> {
         let seeds = settings.seeds();
         let options = Options {
             id: settings.id(),
@@ -187,21 +202,22 @@
             seed,
         };
         let founders = settings.own.initial_attach.then_some(seeds.as_slice());
-        let member = Member::new(options, &writes.stored, founders, &seeds, 1)?;
+        let member = Member::new(options, &storage.stored, founders, &seeds, 1)?;
         let view = View::unpacked(&member.snapshot().data)?;
-        let restored = view.index;
-        // Half of what may pass until a change is in force: the rest is for the way here.
-        let lag = (settings.timers.guarantees.applyS * 500.0) as Time;
+        let restored_index = view.index;
+        // An edge may use half of the time within which a change must be in force; the other half is for the
+        // change to reach this replica.
+        let lag = (settings.timers.guarantees.applyS * 500.0) as Millis;
         let lost = member.lost();
-        // As if just now: when these came to their bad ends is not known.
+        // Treated as reverted just now, since the actual time is unknown.
         let reverted = reverted_services(&view).map(|service| (service, 1)).collect();
         if lost {
-            event!(DiskLost, "{}: asks the others", settings.own.node_name);
+            event!(DiskLost, "{}: asking the other replicas for the state", settings.own.node_name);
         }
         Ok(Rc::new(RefCell::new(Core {
-            known: seeds.iter().copied().filter(|id| *id != settings.id()).collect(),
+            known_replicas: seeds.iter().copied().filter(|id| *id != settings.id()).collect(),
             settings,
-            began: Instant::now(),
+            started_at: Instant::now(),
             metrics: Metrics::default(),
             member,
             view,
@@ -209,140 +225,144 @@
             links: HashMap::new(),
             connections: HashMap::new(),
             feeds: BTreeMap::new(),
-            next: 0,
-            chance: Pcg64Mcg::seed_from_u64(seed),
-            recent: VecDeque::new(),
+            last_id: 0,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            recent_entries: VecDeque::new(),
             recent_bytes: 0,
-            disk: writes.send,
-            out: None,
+            disk_writes: storage.sender,
+            pending_write: None,
             waiters: BTreeMap::new(),
-            reads: HashMap::new(),
-            calls: Calls::new(seed),
-            orders: Orders::default(),
-            leaving: false,
-            margin: Margin::default(),
+            pending_reads: HashMap::new(),
+            forwarded_calls: ForwardedCalls::new(seed),
+            proposed_evacuations: ProposedEvacuations::default(),
+            shutting_down: false,
+            loss_margin: LossMargin::default(),
             role: Role::Follower,
             leader: None,
-            swept: 0,
-            told: 0,
-            beaten: 0,
-            drift: Drift::new(lag),
-            board: Board::default(),
-            tally: Tally::default(),
-            met: BTreeMap::new(),
-            gossiped: BTreeMap::new(),
-            retold: 0,
-            lost,
-            confirmed: false,
-            behind: None,
-            members: Vec::new(),
+            last_periodic_work: 0,
+            last_gossip: 0,
+            last_status: 0,
+            drift: DriftMonitor::new(lag),
+            host_loads: Board::default(),
+            host_evidence: Tally::default(),
+            unsent_observations: BTreeMap::new(),
+            gossiped_edges: BTreeMap::new(),
+            last_full_gossip: 0,
+            disk_lost: lost,
+            start_confirmed: false,
+            logged_behind: None,
+            logged_members: Vec::new(),
             trials: BTreeMap::new(),
-            whole: None,
-            joins: BTreeMap::new(),
-            reverted,
-            lingers: BTreeMap::new(),
-            emptied: BTreeMap::new(),
-            changed: Changed::since(restored),
-            ready: BTreeSet::new(),
-            grown: 1,
+            full_state_frame: None,
+            join_requests: BTreeMap::new(),
+            reverted_at: reverted,
+            unmatched_since: BTreeMap::new(),
+            evacuated_at: BTreeMap::new(),
+            newest_entries: NewestEntries::since(restored_index),
+            ready_edges: BTreeSet::new(),
+            last_edge_arrival: 1,
         })))
     }
 
-    /// A number by chance.
-    fn draw(&mut self) -> u64 {
-        self.chance.random()
+    /// Draws a random number.
+    fn random_u64(&mut self) -> u64 {
+        self.rng.random()
     }
 
     /// Milliseconds since the process began; never 0.
-    pub fn now(&self) -> Time {
-        self.began.elapsed().as_millis() as Time + 1
+    pub fn now(&self) -> Millis {
+        self.started_at.elapsed().as_millis() as Millis + 1
     }
 
-    /// Seconds for which a service's marshals stay cold.
-    fn cold_for(view: &View) -> impl Fn(&str) -> f64 + '_ {
-        |service| view.configuration().and_then(|it| it.targets.get(service)).map_or(3.0, |it| it.warmup_s)
+    /// Returns for how many seconds a service's marshals stay cold.
+    fn warmup_seconds(view: &View) -> impl Fn(&str) -> f64 + '_ {
+        |service| {
+            view.configuration().and_then(|it| it.targets.get(service)).map_or(3.0, |target| target.warmup_s)
+        }
     }
 
-    /// Does whatever has become possible. Called after every input.
-    pub fn pump(shared: &Shared) {
+    /// Does all work that has become possible. Called after every input.
+    pub fn advance(shared: &SharedCore) {
         let core = &mut *shared.borrow_mut();
         loop {
-            core.fold();
-            core.note_changes();
+            core.apply_committed();
+            core.on_role_changes();
             for (to, message) in core.member.unbound() {
-                core.post(to, &Peer::Consensus(message));
+                core.send_to(to, &Peer::Consensus(message));
             }
-            if core.out.is_some() {
+            if core.pending_write.is_some() {
                 return;
             }
             let Some(work) = core.member.work() else { return };
             if work.batch.is_empty() {
                 for (to, message) in work.messages {
-                    core.post(to, &Peer::Consensus(message));
+                    core.send_to(to, &Peer::Consensus(message));
                 }
                 continue;
             }
-            let since = core.now();
-            core.out = Some(Out { last: work.last, messages: work.messages, since });
-            if core.disk.send(work.batch).is_err() {
-                event!(DiskUnusable, "the disk's thread has ended");
+            let handed_out_at = core.now();
+            core.pending_write =
+                Some(PendingWrite { log_end: work.last, messages: work.messages, handed_out_at });
+            if core.disk_writes.send(work.batch).is_err() {
+                event!(DiskUnusable, "the disk thread has ended");
                 std::process::exit(3);
             }
             return;
         }
     }
 
-    /// The batch that was out is on the disk.
-    pub fn saved(shared: &Shared) {
+    /// Handles the report that the batch being written is on disk.
+    pub fn on_batch_written(shared: &SharedCore) {
         {
             let core = &mut *shared.borrow_mut();
-            if let Some(out) = core.out.take() {
+            if let Some(write) = core.pending_write.take() {
                 let now = core.now();
-                core.metrics.written(Duration::from_millis(now.saturating_sub(out.since)));
+                core.metrics.record_disk_wait(Duration::from_millis(now.saturating_sub(write.handed_out_at)));
                 if core.member.suspended() {
-                    event!(DiskBack, "after {} ms", now.saturating_sub(out.since));
+                    event!(DiskBack, "after {} ms", now.saturating_sub(write.handed_out_at));
                 }
-                core.member.saved(now, out.last);
-                for (to, message) in out.messages {
-                    core.post(to, &Peer::Consensus(message));
+                core.member.saved(now, write.log_end);
+                for (to, message) in write.messages {
+                    core.send_to(to, &Peer::Consensus(message));
                 }
             }
         }
-        Core::pump(shared);
+        Core::advance(shared);
     }
 
-    /// The disk refused the batch that is out; it is tried again.
-    pub fn refused(shared: &Shared, why: &str) {
+    /// Handles the report that the disk refused the batch being written. The disk thread retries it.
+    pub fn on_write_refused(shared: &SharedCore, why: &str) {
         {
             let core = &mut *shared.borrow_mut();
-            if let Some(out) = &mut core.out {
-                // They were made when this machine could still promise; whoever waits for them asks again.
-                out.messages.clear();
+            if let Some(write) = &mut core.pending_write {
+                // The messages were made when this replica could still promise durability; their receivers
+                // ask again.
+                write.messages.clear();
             }
-            core.suspend(why);
+            core.suspend_disk(why);
         }
-        Core::pump(shared);
+        Core::advance(shared);
     }
 
-    /// Promises nothing until the disk is back.
-    fn suspend(&mut self, why: &str) {
+    /// Stops promising durability until the disk works again.
+    fn suspend_disk(&mut self, why: &str) {
         if !self.member.suspended() {
-            event!(DiskFailed, "{why}: nothing is promised until it is back");
+            event!(DiskFailed, "{why}: nothing is acknowledged until the disk works again");
             let now = self.now();
             self.member.suspend(now);
         }
     }
 
-    /// Notices what changed about this machine's place.
-    fn note_changes(&mut self) {
+    /// Logs and handles changes of this replica's role, leader and members.
+    fn on_role_changes(&mut self) {
         let now = self.now();
         let (role, leader) = (self.member.role(), self.member.leader());
         if role == Role::Leader && self.role != Role::Leader {
             event!(Leads, "term {}", self.member.term());
             self.trials.clear();
-            self.tally = Tally::default();
-            self.lingers.clear();
-            self.registry.lead(now, &self.view, &Core::cold_for(&self.view));
+            self.host_evidence = Tally::default();
+            self.unmatched_since.clear();
+            self.registry.lead(now, &self.view, &Core::warmup_seconds(&self.view));
         }
         if role != Role::Leader && self.role == Role::Leader {
             self.registry.follow();
@@ -352,51 +372,53 @@
             event!(Follows, "term {}: {name}", self.member.term());
         }
         (self.role, self.leader) = (role, leader);
-        if self.lost && !self.member.lost() {
-            self.lost = false;
-            event!(Whole, "as of entry {}", self.view.index);
+        if self.disk_lost && !self.member.lost() {
+            self.disk_lost = false;
+            event!(Whole, "caught up as of entry {}", self.view.index);
         }
-        self.note_start();
-        if self.members != self.member.members() {
-            self.members = self.member.members().to_vec();
+        self.log_start_progress();
+        if self.logged_members != self.member.members() {
+            self.logged_members = self.member.members().to_vec();
             let names: Vec<String> =
-                self.members.iter().map(|id| std::net::Ipv4Addr::from_bits(*id).to_string()).collect();
+                self.logged_members.iter().map(|id| std::net::Ipv4Addr::from_bits(*id).to_string()).collect();
             event!(Members, "{}", names.join(" "));
-            for id in self.members.clone() {
-                self.meet(id);
+            for id in self.logged_members.clone() {
+                self.add_known_replica(id);
             }
         }
     }
 
-    /// A peer's message on a connection that it made. False where that was replaced by a newer one: the message may be an earlier
-    /// life's and counts for nothing, and the connection is to be closed, so that a peer that lives makes another.
-    pub fn heard(shared: &Shared, from: Id, connection: u64, peer: Peer) -> bool {
+    /// Handles a message from another replica. Returns false if the connection was replaced by a newer one:
+    /// the message may be from an earlier incarnation of the sender and is ignored, and the connection is
+    /// to be closed, so that a running sender makes a new one.
+    pub fn on_peer_message(shared: &SharedCore, from: Id, connection: u64, message: Peer) -> bool {
         {
             let core = &mut *shared.borrow_mut();
             if core.connections.get(&from) != Some(&connection) {
                 return false;
             }
             let now = core.now();
-            match peer {
+            match message {
                 Peer::Consensus(message) => core.member.step(now, from, message),
                 Peer::Gossip { nodes, edges, heartbeats } => {
                     core.registry.heard(now, &nodes);
                     edges.into_iter().for_each(|(edge, ago)| core.registry.edge(now, edge, ago));
-                    heartbeats.iter().for_each(|it| core.registry.edge_heartbeat(now, it));
+                    heartbeats.iter().for_each(|heartbeat| core.registry.edge_heartbeat(now, heartbeat));
                 }
                 Peer::Call { call, ask } => {
                     let shared = Rc::clone(shared);
                     tokio::task::spawn_local(async move {
-                        let answer = Core::lead(&shared, ask).await;
-                        shared.borrow().post(from, &Peer::Reply { call, answer });
+                        let answer = Core::execute_as_leader(&shared, ask).await;
+                        shared.borrow().send_to(from, &Peer::Reply { call, answer });
                     });
                 }
                 Peer::Reply { call, answer } => {
-                    core.calls.answered(from, call, answer); // one that nobody waits for is dropped
+                    // An answer that no caller waits for is dropped.
+                    core.forwarded_calls.deliver(from, call, answer);
                 }
                 Peer::Reports { edge, life, reports } => {
                     if core.role == Role::Leader {
-                        core.reports(edge, life, reports);
+                        core.on_trial_reports(edge, life, reports);
                     }
                 }
                 Peer::Drift { edge, life, zone, finding } => {
@@ -404,124 +426,131 @@
                         core.drift.repairer.told(now, edge, life, &zone, finding);
                     }
                 }
-                Peer::ViewDigest(index, digest) => core.view_digest(now, from, index, &digest),
-                Peer::Observed(told) => {
-                    for (edge, ago, observed) in told {
-                        core.board.take(now, &observed, ago);
-                        core.suspect(now, edge, &observed, ago);
+                Peer::ViewDigest(index, digest) => core.on_view_digest(now, from, index, &digest),
+                Peer::Observed(observations) => {
+                    for (edge, ago, observed) in observations {
+                        core.host_loads.take(now, &observed, ago);
+                        core.record_host_evidence(now, edge, &observed, ago);
                     }
                 }
                 Peer::Join => {
-                    core.joins.insert(from, now);
-                    let replaced = core.replaced();
-                    core.joins.retain(|_, at| now.saturating_sub(*at) < replaced);
-                    if core.member.members().len() < MOST_MEMBERS {
+                    core.join_requests.insert(from, now);
+                    let silence = core.replacement_silence();
+                    core.join_requests.retain(|_, at| now.saturating_sub(*at) < silence);
+                    if core.member.members().len() < MAX_MEMBERS {
                         core.member.admit(now, from);
                     }
                 }
             }
         }
-        Core::pump(shared);
+        Core::advance(shared);
         true
     }
 
-    /// Time passes.
-    fn tick(shared: &Shared) {
+    /// Runs the work that is due by the clock.
+    fn tick(shared: &SharedCore) {
         {
             let core = &mut *shared.borrow_mut();
             let now = core.now();
-            if core.out.as_ref().is_some_and(|out| now > out.since + HANGS) {
-                core.suspend("a write hangs");
+            if core
+                .pending_write
+                .as_ref()
+                .is_some_and(|write| now > write.handed_out_at + WRITE_HANG_TIMEOUT_MS)
+            {
+                core.suspend_disk("a write takes too long");
             }
             core.member.tick(now);
-            if now >= core.beaten + PULSE {
-                core.beaten = now;
-                core.pulse(now);
+            if now >= core.last_status + STATUS_INTERVAL_MS {
+                core.last_status = now;
+                core.broadcast_status(now);
             }
-            if now >= core.swept + 250 {
-                core.swept = now;
-                core.sweep(now);
+            if now >= core.last_periodic_work + 250 {
+                core.last_periodic_work = now;
+                core.run_periodic_work(now);
             }
         }
-        Core::pump(shared);
+        Core::advance(shared);
     }
 
-    fn sweep(&mut self, now: Time) {
+    /// Does the work that is due four times a second: proposals of the leader, clean-up and gossip.
+    fn run_periodic_work(&mut self, now: Millis) {
         let ready: BTreeSet<u32> = self.registry.ready(now).iter().map(|edge| edge.id).collect();
-        if !ready.is_subset(&self.ready) {
-            self.grown = now;
+        if !ready.is_subset(&self.ready_edges) {
+            self.last_edge_arrival = now;
         }
-        self.ready = ready;
-        let silence = (self.settings.provider.report_s * 3_000.0) as Time + 1_000;
+        self.ready_edges = ready;
+        let silence = (self.settings.provider.report_s * 3_000.0) as Millis + 1_000;
         if self.role == Role::Leader {
-            let mut commands = self.registry.sweep(now, &self.view, silence, &Core::cold_for(&self.view));
-            commands.extend(self.judge(now));
-            commands.extend(self.linger(now));
-            commands.extend(self.bring_back(now));
-            commands.extend(self.suspects(now));
+            let mut commands =
+                self.registry.sweep(now, &self.view, silence, &Core::warmup_seconds(&self.view));
+            commands.extend(self.trial_commands(now));
+            commands.extend(self.end_unmatched_evacuations(now));
+            commands.extend(self.repair_commands(now));
+            commands.extend(self.ejection_commands(now));
             for command in commands {
                 self.member.propose(now, command.bytes());
             }
-            self.replace(now);
+            self.remove_replaced_member(now);
         }
-        self.waiters.retain(|_, list| {
-            list.retain(|(_, waiter)| !waiter.is_closed());
-            !list.is_empty()
+        self.waiters.retain(|_, waiters| {
+            waiters.retain(|(_, waiter)| !waiter.is_closed());
+            !waiters.is_empty()
         });
-        self.reads.retain(|_, read| !read.is_closed());
-        self.calls.forget();
-        self.tell_margin(now);
+        self.pending_reads.retain(|_, read| !read.is_closed());
+        self.forwarded_calls.remove_abandoned();
+        self.log_loss_margin(now);
         self.registry.forget(now);
         for (edge, life) in self.drift.checker.silent(now) {
-            self.found(now, edge, life, Finding::Stuck);
+            self.report_finding(now, edge, life, Finding::Stuck);
         }
-        if !self.met.is_empty() {
-            let met = std::mem::take(&mut self.met).into_iter();
-            let told =
-                met.map(|(edge, (_, at, observed))| (edge, now.saturating_sub(at), observed)).collect();
-            self.post_all(&Peer::Observed(told));
+        if !self.unsent_observations.is_empty() {
+            let unsent = std::mem::take(&mut self.unsent_observations).into_iter();
+            let observations =
+                unsent.map(|(edge, (_, at, observed))| (edge, now.saturating_sub(at), observed)).collect();
+            self.broadcast(&Peer::Observed(observations));
         }
-        if now >= self.told + 500 {
-            self.told = now;
-            if let Some((index, digest)) = self.drift.own() {
-                self.post_all(&Peer::ViewDigest(index, digest));
+        if now >= self.last_gossip + 500 {
+            self.last_gossip = now;
+            if let Some((index, digest)) = self.drift.newest_digest() {
+                self.broadcast(&Peer::ViewDigest(index, digest));
             }
             let nodes = self.registry.news();
-            // Guards against a machine that has just come up, or whose link lost a message: now and then all is told again.
-            if now >= self.retold + RETELL {
-                self.retold = now;
-                self.gossiped.clear();
+            // Guards against a replica that has just started, or whose link lost a message: the full status
+            // is sent periodically.
+            if now >= self.last_full_gossip + FULL_GOSSIP_INTERVAL_MS {
+                self.last_full_gossip = now;
+                self.gossiped_edges.clear();
             }
-            let (edges, heartbeats) = self.registry.gossip(now, &mut self.gossiped);
-            self.post_all(&Peer::Gossip { nodes, edges, heartbeats });
-            // One that is not a member, or that hears no leader and may have been replaced, asks all it knows: whoever leads
-            // takes it in.
+            let (edges, heartbeats) = self.registry.gossip(now, &mut self.gossiped_edges);
+            self.broadcast(&Peer::Gossip { nodes, edges, heartbeats });
+            // A replica that is not a member, or that hears no leader and may have been replaced, asks all
+            // replicas that it knows to join; the leader admits it.
             let outside = !self.member.members().contains(&self.settings.id());
-            if !self.leaving && !self.member.lost() && (outside || !self.member.fresh(now, 2_000)) {
-                for id in self.known.clone() {
-                    self.post(id, &Peer::Join);
+            if !self.shutting_down && !self.member.lost() && (outside || !self.member.fresh(now, 2_000)) {
+                for id in self.known_replicas.clone() {
+                    self.send_to(id, &Peer::Join);
                 }
             }
         }
     }
 }
 
-/// The clock's task.
-pub async fn ticks(core: Shared) {
-    let mut every = tokio::time::interval(Duration::from_millis(25));
-    every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+/// Runs the clock.
+pub async fn run_clock(core: SharedCore) {
+    let mut interval = tokio::time::interval(Duration::from_millis(25));
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        every.tick().await;
+        interval.tick().await;
         Core::tick(&core);
     }
 }
 
-/// Reads the settings again whenever the file changes: other seeds are other machines to ask.
-pub async fn watch(core: Shared, path: PathBuf) {
-    let take = |settings: Settings| {
+/// Reads the settings again whenever the file changes; new seeds are further replicas to contact.
+pub async fn watch_settings(core: SharedCore, path: PathBuf) {
+    let apply = |settings: Settings| {
         let core = &mut *core.borrow_mut();
-        settings.seeds().into_iter().for_each(|id| core.meet(id));
+        settings.seeds().into_iter().for_each(|id| core.add_known_replica(id));
         core.settings.timers = settings.timers;
     };
-    milletwing_wire::watch(path, take).await;
+    milletwing_wire::watch(path, apply).await;
 }
--- a/crates/control-plane/src/core/folding.rs
+++ b/crates/control-plane/src/core/apply.rs
@@ -1,6 +1,6 @@
-//! Committed entries become the state here; those who wait for them are answered, and edges are told.
+//! Applies committed entries to the state, answers the callers that wait for them, and updates the edges.
 
-use super::{Changed, Core, RECENT};
+use super::{Core, NewestEntries, MAX_RECENT_ENTRIES_AND_BYTES};
 use milletwing_config::{event, Configuration, Difference};
 use milletwing_consensus::Payload;
 use milletwing_replicated_state::{Command, Outcome, View};
@@ -8,19 +8,19 @@
 use std::rc::Rc;
 
 impl Core {
-    /// Folds what is committed, answers those who wait for it, and tells the edges.
-    pub(super) fn fold(&mut self) {
+    /// Applies committed entries, answers the callers that wait for them, and updates the edges.
+    pub(super) fn apply_committed(&mut self) {
         if let Some(data) = self.member.restored() {
             match View::unpacked(&data) {
                 Ok(view) => self.view = view,
                 Err(problem) => {
-                    event!(DiskUnusable, "the leader's snapshot: {problem}");
+                    event!(DiskUnusable, "cannot read the leader's snapshot: {problem}");
                     std::process::exit(3);
                 }
             }
-            self.note_reverted();
-            self.changed = Changed::since(self.view.index);
-            self.recent.clear();
+            self.record_reverted_rollouts();
+            self.newest_entries = NewestEntries::since(self.view.index);
+            self.recent_entries.clear();
             self.recent_bytes = 0;
         }
         let mut repairs = Vec::new();
@@ -30,16 +30,16 @@
                     Ok(command) => {
                         let before = self.view.configuration().cloned();
                         let outcome = self.view.apply(entry.index, &command);
-                        self.note(entry.index, &command, &outcome, before.as_deref());
-                        self.changed.note(entry.index, &command);
+                        self.log_outcome(entry.index, &command, &outcome, before.as_deref());
+                        self.newest_entries.record(entry.index, &command);
                         if let Command::Settle { service, good: false, .. } = &command {
-                            self.reverted.insert(service.clone(), self.now());
+                            self.reverted_at.insert(service.clone(), self.now());
                         }
                         if let Command::Repair { edge, life, step, .. } = &command {
                             repairs.push((*edge, *life, *step));
                         }
                         if let Command::Evacuate { zone, on: true, .. } = &command {
-                            self.emptied.insert(zone.clone(), self.now());
+                            self.evacuated_at.insert(zone.clone(), self.now());
                         }
                         let answer = match outcome {
                             Outcome::Done => Answer::Done(entry.index),
@@ -54,14 +54,16 @@
             self.view.index = entry.index;
             if let Some(bytes) = bytes {
                 self.recent_bytes += bytes.len();
-                self.recent.push_back((entry.index, Rc::new(bytes)));
-                while self.recent.len() > RECENT.0 || self.recent_bytes > RECENT.1 {
-                    let Some((_, old)) = self.recent.pop_front() else { break };
+                self.recent_entries.push_back((entry.index, Rc::new(bytes)));
+                while self.recent_entries.len() > MAX_RECENT_ENTRIES_AND_BYTES.0
+                    || self.recent_bytes > MAX_RECENT_ENTRIES_AND_BYTES.1
+                {
+                    let Some((_, old)) = self.recent_entries.pop_front() else { break };
                     self.recent_bytes -= old.len();
                 }
             }
             for (term, waiter) in self.waiters.remove(&entry.index).unwrap_or_default() {
-                // Another leader's entry in its place: nobody can say what became of the one waited for.
+                // Another leader's entry took its place: the outcome of the awaited entry is unknown.
                 let _ = waiter.send(if term == entry.term { answer.clone() } else { Answer::Unsure });
             }
         }
@@ -71,21 +73,21 @@
         }
         let index = self.view.index;
         for token in self.member.reads() {
-            if let Some(read) = self.reads.remove(&token) {
-                let _ = read.send(Answer::Done(index));
+            if let Some(reader) = self.pending_reads.remove(&token) {
+                let _ = reader.send(Answer::Done(index));
             }
         }
         for (edge, life, step) in repairs {
-            self.repair(edge, life, step);
+            self.send_repair_step(edge, life, step);
         }
         let ids: Vec<u64> =
-            self.feeds.iter().filter(|(_, feed)| feed.sent < index).map(|(id, _)| *id).collect();
+            self.feeds.iter().filter(|(_, feed)| feed.sent_index < index).map(|(id, _)| *id).collect();
         for id in ids {
-            self.feed(id);
+            self.send_updates(id);
         }
     }
 
-    fn note(&self, index: u64, command: &Command, outcome: &Outcome, before: Option<&Configuration>) {
+    fn log_outcome(&self, index: u64, command: &Command, outcome: &Outcome, before: Option<&Configuration>) {
         match (command, outcome) {
             (_, Outcome::Refused(kind)) => event!(Refused, "entry {index}: {kind}"),
             (Command::Configure { .. }, _) => {
@@ -113,25 +115,25 @@
             (Command::NodeWarm { id }, _) => event!(NodeWarm, "{id}"),
             (Command::NodeCold { id, .. }, _) => event!(NodeWarm, "{id} is cold"),
             (Command::Evacuate { zone, on, .. }, _) => {
-                event!(Evacuated, "{zone} {}", if *on { "is emptied" } else { "is taken back" })
+                event!(Evacuated, "{zone} {}", if *on { "is evacuated" } else { "is no longer evacuated" })
             }
             (Command::RollOut { service, revision, .. }, _) => {
-                event!(RollOut, "{service}: {revision} ordered")
+                event!(RollOut, "{service}: rollout of {revision} requested")
             }
             (Command::Stage { service, number, stage }, _) => {
-                event!(RollOut, "{service}: stage {stage}{}", self.evidence(*number))
+                event!(RollOut, "{service}: stage {stage}{}", self.describe_evidence(*number))
             }
-            (Command::Suspect { id, looks }, _) if looks.is_empty() => event!(Suspected, "{id} is taken out"),
+            (Command::Suspect { id, looks }, _) if looks.is_empty() => event!(Suspected, "{id} ejected"),
             (Command::Suspect { id, looks }, _) => {
-                event!(Suspected, "{id} is looked at by {} edges", looks.len())
+                event!(Suspected, "{id} probed by {} edges", looks.len())
             }
-            (Command::Trust { id }, _) => event!(Suspected, "{id} takes its part again"),
+            (Command::Trust { id }, _) => event!(Suspected, "{id} readmitted"),
             (Command::Repair { edge, step, why, .. }, _) => {
                 event!(Repairs, "{}: {}: {why}", std::net::Ipv4Addr::from_bits(*edge), step.word())
             }
             (Command::Settle { service, number, good }, _) => {
                 let end = if *good { "completed" } else { "reverted" };
-                event!(RollOut, "{service}: {end}{}", self.evidence(*number))
+                event!(RollOut, "{service}: {end}{}", self.describe_evidence(*number))
             }
         }
     }
--- a/crates/control-plane/src/core/directory.rs
+++ b/crates/control-plane/src/core/directory.rs
@@ -1,73 +1,81 @@
-//! Edges for clients that ask where to go.
+//! Resolves a host for clients to addresses of edges.
 
-use super::{Core, Time, FRESH, GROWING};
+use super::{Core, Millis, EDGE_ARRIVAL_WINDOW_MS, FRESHNESS_MS};
 use milletwing_config::configuration::Route;
 use milletwing_replicated_state::EdgeStatus;
 use std::net::SocketAddrV4;
 
-/// Edges in one answer at most.
-const MOST_EDGES: usize = 64;
-/// Milliseconds since an edge was heard within which it is taken for one that is there.
-const EDGE_HEARD: Time = 1_500;
+/// Maximum number of edges in one answer.
+const MAX_EDGES: usize = 64;
+/// An edge heard from within this many milliseconds counts as present.
+const EDGE_PRESENCE_TIMEOUT_MS: Millis = 1_500;
 
-/// What a client that asks where to go is told.
+/// The answer to a client's lookup.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Resolution {
-    /// Where edges take clients.
+    /// Addresses where edges accept clients.
     pub edges: Vec<SocketAddrV4>,
-    /// Seconds for which it may be held.
-    pub hold_s: f64,
+    /// Seconds for which the client may cache the answer.
+    pub ttl_s: f64,
 }
 
 impl Core {
-    /// Seconds for which a client may hold a resolution: as long as allowed, since a look-up at a machine without power costs
-    /// its client a second, while an address that no longer serves costs it a connection that is refused. But while edges
-    /// come back one after the other, only shortly: else all clients stay with the few that were first.
-    fn hold_s(&self) -> f64 {
-        let most = self.settings.timers.guarantees.ttl_max_s;
-        if self.now() < self.grown + GROWING {
-            most.min(1.0)
+    /// Seconds for which a client may cache a resolution. Normally the maximum allowed, since a lookup at a
+    /// machine without power costs the client a second, while an address that no longer serves costs it
+    /// only a refused connection. While edges come back one after the other it is short: otherwise all
+    /// clients would stay with the few edges that were back first.
+    fn ttl_s(&self) -> f64 {
+        let max = self.settings.timers.guarantees.ttl_max_s;
+        if self.now() < self.last_edge_arrival + EDGE_ARRIVAL_WINDOW_MS {
+            max.min(1.0)
         } else {
-            most
+            max
         }
     }
 
-    /// Where a client of this region that asks for this host should go: to edges that take traffic there. Where there are none and the
-    /// host's routes have homes: in regions that all of them allow, else to those of its region that leave and still serve. Else
-    /// anywhere.
+    /// Resolves a host for a client in a region: to ready edges of that region. If there are none and the
+    /// host's routes are restricted to serving regions: to edges in regions that all of these routes allow,
+    /// otherwise to edges of the client's region that are draining and still serve. Otherwise to any ready
+    /// edge.
     pub fn resolve(&self, host: &str, region: &str) -> Resolution {
         let now = self.now();
-        // One that is cut off keeps what it last knew.
-        let reach = if self.member.fresh(now, FRESH) { EDGE_HEARD } else { 30_000 };
+        // A replica that is cut off from the leader keeps using the edges that it last heard of.
+        let presence_timeout =
+            if self.member.fresh(now, FRESHNESS_MS) { EDGE_PRESENCE_TIMEOUT_MS } else { 30_000 };
         let known = || self.registry.edges(now).filter(|(edge, _)| !self.view.rests(edge.id, edge.life));
-        let ready: Vec<&EdgeStatus> =
-            known().filter(|(edge, ago)| edge.ready && *ago <= reach).map(|(edge, _)| edge).collect();
-        let near = ready.iter().filter(|edge| edge.region == region).map(|edge| edge.ingress).collect();
-        let (mut edges, mut hold_s): (Vec<SocketAddrV4>, f64) = (near, self.hold_s());
-        let homed = if edges.is_empty() { self.homed(host) } else { Vec::new() };
-        if !homed.is_empty() {
-            let home =
-                |edge: &&&EdgeStatus| homed.iter().all(|route| route.serving_regions.contains(&edge.region));
-            edges = ready.iter().filter(home).map(|edge| edge.ingress).collect();
+        let ready: Vec<&EdgeStatus> = known()
+            .filter(|(edge, ago)| edge.ready && *ago <= presence_timeout)
+            .map(|(edge, _)| edge)
+            .collect();
+        let local = ready.iter().filter(|edge| edge.region == region).map(|edge| edge.ingress).collect();
+        let (mut edges, mut ttl_s): (Vec<SocketAddrV4>, f64) = (local, self.ttl_s());
+        let restricted_routes =
+            if edges.is_empty() { self.region_restricted_routes(host) } else { Vec::new() };
+        if !restricted_routes.is_empty() {
+            let allowed_by_all_routes = |edge: &&&EdgeStatus| {
+                restricted_routes.iter().all(|route| route.serving_regions.contains(&edge.region))
+            };
+            edges = ready.iter().filter(allowed_by_all_routes).map(|edge| edge.ingress).collect();
             if edges.is_empty() {
-                let leaving = known().filter(|(edge, ago)| !edge.ready && *ago <= EDGE_HEARD);
-                let near = leaving.filter(|(edge, _)| edge.region == region);
-                edges = near.map(|(edge, _)| edge.ingress).collect();
-                hold_s = hold_s.min(1.0);
+                let draining = known().filter(|(edge, ago)| !edge.ready && *ago <= EDGE_PRESENCE_TIMEOUT_MS);
+                let local = draining.filter(|(edge, _)| edge.region == region);
+                edges = local.map(|(edge, _)| edge.ingress).collect();
+                ttl_s = ttl_s.min(1.0);
             }
         }
         if edges.is_empty() {
             edges = ready.iter().map(|edge| edge.ingress).collect();
         }
-        edges.truncate(MOST_EDGES);
-        Resolution { edges, hold_s }
+        edges.truncate(MAX_EDGES);
+        Resolution { edges, ttl_s }
     }
 
-    /// Routes of a host that may be served in some regions only.
-    fn homed(&self, host: &str) -> Vec<&Route> {
-        let routes = self.view.configuration().into_iter().flat_map(|it| it.routing.values());
-        let own =
+    /// Returns the routes of a host that may be served in some regions only.
+    fn region_restricted_routes(&self, host: &str) -> Vec<&Route> {
+        let routes =
+            self.view.configuration().into_iter().flat_map(|configuration| configuration.routing.values());
+        let matches =
             |route: &&Route| route.domain.eq_ignore_ascii_case(host) && !route.serving_regions.is_empty();
-        routes.filter(own).collect()
+        routes.filter(matches).collect()
     }
 }
--- /dev/null
+++ b/crates/control-plane/src/core/edge_reports.rs
@@ -0,0 +1,171 @@
+//! Handles what edges report of themselves and of marshals, and derives commands from it.
+
+use super::{Core, Millis, FRESHNESS_MS};
+use milletwing_config::event;
+use milletwing_consensus::{Id, Role};
+use milletwing_drift_detection::{Digest, Finding, Names, Order};
+use milletwing_outlier_detection::{key, Known, Move, Observed};
+use milletwing_replicated_state::{Command, EdgeStatus};
+use milletwing_wire::{frame, EdgeReport, Peer, ToEdge};
+use std::rc::Rc;
+
+impl Core {
+    /// Handles the heartbeat of an edge that is connected to this replica.
+    pub fn on_edge_report(&mut self, id: u64, report: EdgeReport) {
+        let now = self.now();
+        let EdgeReport { edge, index, reports, observed, reflection, sample } = report;
+        if let Some(feed) = self.feeds.get_mut(&id) {
+            feed.applied_index = index;
+        }
+        if !reports.is_empty() {
+            self.on_trial_reports(edge.id, edge.life, reports);
+        }
+        self.record_observations(now, &edge, observed);
+        let fresh = self.member.fresh(now, FRESHNESS_MS) && !self.member.lost();
+        let findings =
+            self.drift.check_heartbeat(now, &self.view, (edge.id, index), reflection, sample, fresh);
+        let (edge_id, life) = (edge.id, edge.life);
+        self.registry.edge(now, edge, 0);
+        for finding in findings {
+            if matches!(finding, Finding::Partial(_)) {
+                if let Some(feed) = self.feeds.get(&id) {
+                    let _ = feed.sender.try_send((None, Rc::new(frame(&ToEdge::Names))));
+                    // If the queue is full, the next such finding asks again.
+                }
+            }
+            self.report_finding(now, edge_id, life, finding);
+        }
+    }
+
+    /// Compares the routing state that an edge listed by name with the agreed state, and logs the
+    /// differences for operators.
+    pub fn on_edge_names(&mut self, id: u64, names: &Names) {
+        let Some(edge) = self.feeds.get(&id).map(|feed| feed.edge) else { return };
+        let differences = self.drift.list_differences(&self.view, edge, names);
+        if !differences.is_empty() {
+            event!(Drifted, "{}: {}", std::net::Ipv4Addr::from_bits(edge), differences.join(", "));
+        }
+    }
+
+    /// Passes a finding on an edge of this replica on to the leader.
+    pub(super) fn report_finding(&mut self, now: Millis, edge: u32, life: u64, finding: Finding) {
+        let zone = self
+            .registry
+            .edges(now)
+            .find(|(status, _)| status.id == edge)
+            .map(|(status, _)| status.zone.clone());
+        let zone = zone.unwrap_or_default();
+        if self.role == Role::Leader {
+            self.drift.repairer.told(now, edge, life, &zone, finding);
+        } else if let Some(leader) = self.leader {
+            self.send_to(leader, &Peer::Drift { edge, life, zone, finding });
+        }
+    }
+
+    /// Records an edge's observations as evidence on hosts, if this replica leads.
+    pub(super) fn record_host_evidence(
+        &mut self,
+        now: Millis,
+        edge: u32,
+        observed: &[Observed],
+        ago: Millis,
+    ) {
+        if self.role == Role::Leader {
+            let zone = self
+                .registry
+                .edges(now)
+                .find(|(status, _)| status.id == edge)
+                .map(|(status, _)| status.zone.clone());
+            self.host_evidence.take(now, edge, &zone.unwrap_or_default(), observed, ago);
+        }
+    }
+
+    /// Returns commands to eject, probe or readmit hosts.
+    pub(super) fn ejection_commands(&mut self, now: Millis) -> Vec<Command> {
+        let known: Vec<Known> = self
+            .view
+            .nodes
+            .values()
+            .map(|node| {
+                let (open, new) = self.view.standing(node);
+                let (host, service) = (key(&node.id), node.target.clone());
+                let warm = node.phase == milletwing_replicated_state::Phase::Warm;
+                Known {
+                    host,
+                    service,
+                    open: open && !new && warm,
+                    out: self.view.suspected.contains_key(&node.id),
+                }
+            })
+            .collect();
+        let id = |host: u32| self.view.nodes.keys().find(|id| key(id) == host).cloned().unwrap_or_default();
+        let changes = self.host_evidence.step(now, &known).into_iter();
+        changes
+            .map(|change| match change {
+                Move::Out(host) => Command::Suspect { id: id(host), looks: Vec::new() },
+                Move::Look(host, looks) => Command::Suspect { id: id(host), looks },
+                Move::Back(host) => Command::Trust { id: id(host) },
+            })
+            .collect()
+    }
+
+    /// Lists hosts that are ejected, or that edges found unreachable; the evidence is complete only at the
+    /// leader.
+    pub fn suspects_json(&self) -> serde_json::Value {
+        let now = self.now();
+        let address = |edge: &u32| std::net::Ipv4Addr::from_bits(*edge).to_string();
+        let hosts = self.view.nodes.values().filter_map(|node| {
+            let probing_edges = self.view.suspected.get(&node.id);
+            let (found_by, answered_ago) = self.host_evidence.tell(now, key(&node.id));
+            (probing_edges.is_some() || !found_by.is_empty()).then(|| {
+                serde_json::json!({"marshal": node.id, "service": node.target, "zone": node.zone,
+                    "out": probing_edges.is_some(), "lookedAtBy": probing_edges.into_iter().flatten().map(address).collect::<Vec<_>>(),
+                    "foundGoneBy": found_by.iter().map(address).collect::<Vec<_>>(), "answeredMs": answered_ago})
+            })
+        });
+        serde_json::json!({"suspects": hosts.collect::<Vec<_>>()})
+    }
+
+    /// Describes whether edges route by the agreed state; complete only at the leader.
+    pub fn drift_json(&self) -> serde_json::Value {
+        let now = self.now();
+        let heard: Vec<(u32, String, Millis)> =
+            self.registry.edges(now).map(|(edge, ago)| (edge.id, edge.zone.clone(), ago)).collect();
+        self.drift.describe(now, &self.view, &heard)
+    }
+
+    /// Returns commands to repair drifted edges.
+    pub(super) fn repair_commands(&mut self, now: Millis) -> Vec<Command> {
+        let ready = self.registry.ready(now).into_iter();
+        let ready: Vec<(u32, String)> = ready
+            .filter(|edge| !self.view.rests(edge.id, edge.life))
+            .map(|edge| (edge.id, edge.zone.clone()))
+            .collect();
+        let orders = self.drift.next_repairs(now, &ready);
+        orders
+            .into_iter()
+            .map(|Order { edge, life, step, why }| Command::Repair { edge, life, step, why })
+            .collect()
+    }
+
+    /// Handles another replica's digest of its state.
+    pub(super) fn on_view_digest(&mut self, now: Millis, from: Id, index: u64, digest: &Digest) {
+        if self.drift.record_digest(now, from, index, digest) {
+            event!(CoreDiffers, "{}, as of entry {index}", std::net::Ipv4Addr::from_bits(from));
+        }
+    }
+
+    /// Records the observations that an edge of this replica made at hosts.
+    pub(super) fn record_observations(&mut self, now: Millis, edge: &EdgeStatus, observed: Vec<Observed>) {
+        if observed.is_empty() {
+            return;
+        }
+        self.host_loads.take(now, &observed, 0);
+        self.record_host_evidence(now, edge.id, &observed, 0);
+        let (_, at, unsent) = self.unsent_observations.entry(edge.id).or_insert((edge.life, now, Vec::new()));
+        *at = now;
+        // Bounded, as they are sent on four times a second; what does not fit is made up for by the edge's
+        // next requests.
+        unsent.extend(observed.into_iter().take(1024usize.saturating_sub(unsent.len())));
+    }
+}
--- a/crates/control-plane/src/core/membership.rs
+++ b/crates/control-plane/src/core/membership.rs
@@ -1,6 +1,6 @@
-//! Which machines make up the core, who may stop, and how many further losses are borne.
+//! Which replicas are consensus members, which may stop, and how many further losses can be tolerated.
 
-use super::{Core, Shared, Time};
+use super::{Core, Millis, SharedCore};
 use milletwing_config::event;
 use milletwing_consensus::Id;
 use milletwing_consensus::Retirement;
@@ -9,101 +9,112 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Milliseconds for which a margin holds before it is told: what a single late answer changes is not.
-const STEADY: Time = 1_000;
-/// Between two questions of a machine that is to stop.
-const ASKS: Duration = Duration::from_millis(100);
+/// How long in milliseconds the number of tolerated losses must hold before it is logged, so that a single
+/// late answer changes nothing.
+const MARGIN_HOLD_MS: Millis = 1_000;
+/// Pause between two requests of a stopping replica for permission to retire.
+const RETIRE_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Further losses that are borne: as told last, and as seen since when.
+/// The number of further losses that can be tolerated: as last logged, and as last computed with the time
+/// since when it has held.
 #[derive(Default)]
-pub(super) struct Margin {
-    told: Option<usize>,
-    seen: Option<usize>,
-    since: Time,
+pub(super) struct LossMargin {
+    logged: Option<usize>,
+    current: Option<usize>,
+    since: Millis,
 }
 
 impl Core {
-    /// Tells, once, that the start of this machine is confirmed, or that its disk holds less than the others.
-    pub(super) fn note_start(&mut self) {
+    /// Logs, once each, that this replica's start is confirmed, or that its disk holds less than the
+    /// others.
+    pub(super) fn log_start_progress(&mut self) {
         let behind = self.member.behind();
-        if let Some((term, index)) = behind.filter(|_| self.behind != behind) {
+        if let Some((term, index)) = behind.filter(|_| self.logged_behind != behind) {
             let (_, last) = self.member.positions();
             event!(
                 DiskBehind,
-                "its log ends at {} of term {}, others' at {index} of term {term}",
+                "its log ends at {} of term {}, the other replicas' at {index} of term {term}",
                 last.1,
                 last.0
             );
         }
-        self.behind = behind;
+        self.logged_behind = behind;
         let confirmed = self.member.confirmed();
-        if confirmed && !self.confirmed && !self.member.lost() {
+        if confirmed && !self.start_confirmed && !self.member.lost() {
             event!(StartConfirmed, "as of entry {}", self.member.positions().1 .1);
         }
-        self.confirmed = confirmed;
+        self.start_confirmed = confirmed;
     }
 
-    /// Ends the membership of a machine that another has replaced.
-    pub(super) fn replace(&mut self, now: Time) {
-        let silent = self.member.superfluous(now, self.replaced()).filter(|id| !self.joined(*id, now));
-        if let Some(id) = silent {
-            let rest = self.member.members().iter().copied().filter(|member| *member != id).collect();
-            self.member.change(now, rest);
+    /// Removes a member that another replica has replaced.
+    pub(super) fn remove_replaced_member(&mut self, now: Millis) {
+        let replaced_member =
+            self.member.superfluous(now, self.replacement_silence()).filter(|id| !self.is_joining(*id, now));
+        if let Some(id) = replaced_member {
+            let remaining = self.member.members().iter().copied().filter(|member| *member != id).collect();
+            self.member.change(now, remaining);
         }
     }
 
-    /// Whether a machine is on its way in.
-    fn joined(&self, id: Id, now: Time) -> bool {
-        self.joins.get(&id).is_some_and(|at| now.saturating_sub(*at) < self.replaced())
+    /// Whether a replica has recently asked to join.
+    fn is_joining(&self, id: Id, now: Millis) -> bool {
+        self.join_requests.get(&id).is_some_and(|at| now.saturating_sub(*at) < self.replacement_silence())
     }
 
-    /// Silence after which a member that is one too many is taken out: half of the time after which a successor is to count, so
-    /// that a further loss right then is borne.
-    pub(super) fn replaced(&self) -> Time {
-        (self.settings.timers.guarantees.syncS * 500.0).max(1_000.0) as Time
+    /// How long a superfluous member must be silent before it is removed: half of the time after which its
+    /// successor must count, so that a further loss right then can be tolerated.
+    pub(super) fn replacement_silence(&self) -> Millis {
+        (self.settings.timers.guarantees.syncS * 500.0).max(1_000.0) as Millis
     }
 
-    /// Whether a machine may stop; not clear while others don't hold everything yet.
-    pub(super) fn retire(&mut self, now: Time, id: Id) -> Option<oneshot::Receiver<Answer>> {
+    /// Decides whether a replica may stop. Returns none while the other replicas do not hold everything yet.
+    pub(super) fn retire(&mut self, now: Millis, id: Id) -> Option<oneshot::Receiver<Answer>> {
         match self.member.retire(now, id)? {
-            Retirement::MayStop => self.verdict(Verdict::Known),
-            Retirement::Leaves(index) => Some(self.wait_for(self.member.term(), index)),
+            Retirement::MayStop => self.execute_verdict(Verdict::Known),
+            Retirement::Leaves(index) => Some(self.wait_for_entry(self.member.term(), index)),
             Retirement::Wait => None,
         }
     }
 
-    /// Before this machine stops: another leads, it is no member any more where it is one too many, and the others hold
-    /// everything. For so long at most; whatever then is not done, its disk keeps.
-    pub async fn leave(shared: &Shared, within: Duration) {
+    /// Prepares this replica to stop: waits until another one leads, this one is no longer a member if it
+    /// was superfluous, and the others hold everything. Gives up after `timeout`; what is not done by then
+    /// is still on this replica's disk.
+    pub async fn prepare_shutdown(shared: &SharedCore, timeout: Duration) {
         let id = {
             let core = &mut *shared.borrow_mut();
-            core.leaving = true;
+            core.shutting_down = true;
             let now = core.now();
             core.member.hand_over(now);
             core.settings.id()
         };
-        Core::pump(shared);
-        let asks = async {
-            while !matches!(Core::order(shared, CoreRequest::Retire { id }, ASKS * 4).await, Answer::Done(_))
-            {
-                tokio::time::sleep(ASKS).await;
+        Core::advance(shared);
+        let retirement = async {
+            while !matches!(
+                Core::submit(shared, CoreRequest::Retire { id }, RETIRE_REQUEST_INTERVAL * 4).await,
+                Answer::Done(_)
+            ) {
+                tokio::time::sleep(RETIRE_REQUEST_INTERVAL).await;
             }
         };
-        let alone = shared.borrow().member.members().iter().all(|member| *member == id);
-        if !alone && tokio::time::timeout(within, asks).await.is_err() {
-            event!(LeavesEarly, "the others may lack what this machine holds");
+        let is_only_member = shared.borrow().member.members().iter().all(|member| *member == id);
+        if !is_only_member && tokio::time::timeout(timeout, retirement).await.is_err() {
+            event!(LeavesEarly, "the other replicas may lack entries that this one holds");
         }
     }
 
-    /// Tells how many further losses are borne, where this machine leads and that has changed for good.
-    pub(super) fn tell_margin(&mut self, now: Time) {
-        let seen = self.member.further_losses(now);
-        if seen != self.margin.seen {
-            (self.margin.seen, self.margin.since) = (seen, now);
+    /// Logs how many further losses can be tolerated, if this replica leads and the number has changed and
+    /// held.
+    pub(super) fn log_loss_margin(&mut self, now: Millis) {
+        let current = self.member.further_losses(now);
+        if current != self.loss_margin.current {
+            (self.loss_margin.current, self.loss_margin.since) = (current, now);
         }
-        if seen.is_some() && seen != self.margin.told && now >= self.margin.since + STEADY {
-            self.margin.told = seen;
-            event!(LossesBorne, "{} of {} members", seen.unwrap_or(0), self.member.members().len());
+        if current.is_some()
+            && current != self.loss_margin.logged
+            && now >= self.loss_margin.since + MARGIN_HOLD_MS
+        {
+            self.loss_margin.logged = current;
+            event!(LossesBorne, "{} of {} members", current.unwrap_or(0), self.member.members().len());
         }
     }
 }
--- a/crates/control-plane/src/core/peers.rs
+++ b/crates/control-plane/src/core/peers.rs
@@ -1,51 +1,55 @@
-//! Links to the other machines of the core: who is known, what waits for whom.
+//! Links to the other control-plane replicas: which are known, and what waits to be sent to each.
 
-use super::{Core, QUEUE};
+use super::{Core, LINK_QUEUE_FRAMES};
 use milletwing_consensus::Id;
 use milletwing_wire::{frame, Peer};
 use std::rc::Rc;
 use tokio::sync::{mpsc, Notify};
 
 impl Core {
-    /// Another machine of the core was heard of.
-    pub fn meet(&mut self, id: Id) {
-        if id != self.settings.id() && !self.known.contains(&id) && self.known.len() < 64 {
-            self.known.push(id);
+    /// Records that another replica exists.
+    pub fn add_known_replica(&mut self, id: Id) {
+        if id != self.settings.id() && !self.known_replicas.contains(&id) && self.known_replicas.len() < 64 {
+            self.known_replicas.push(id);
         }
     }
 
-    /// Opens the queue of a link; gives its other end, and the word that the machine has dialled this one.
-    pub fn link(&mut self, id: Id) -> (mpsc::Receiver<Rc<Vec<u8>>>, Rc<Notify>) {
-        let (send, queue) = mpsc::channel(QUEUE);
-        let up = Rc::new(Notify::new());
-        self.links.insert(id, (send, Rc::clone(&up)));
-        (queue, up)
+    /// Opens the queue of a link. Returns its receiver, and the notification that the replica has dialled
+    /// this one.
+    pub fn open_link(&mut self, id: Id) -> (mpsc::Receiver<Rc<Vec<u8>>>, Rc<Notify>) {
+        let (sender, queue) = mpsc::channel(LINK_QUEUE_FRAMES);
+        let dialled_by_peer = Rc::new(Notify::new());
+        self.links.insert(id, (sender, Rc::clone(&dialled_by_peer)));
+        (queue, dialled_by_peer)
     }
 
-    /// Another machine of the core has dialled this one. Gives the connection's number; what comes on an earlier one counts no
-    /// more.
-    pub fn dialled_by(&mut self, id: Id) -> u64 {
-        self.meet(id);
-        self.next += 1;
-        self.connections.insert(id, self.next);
-        self.gossiped.clear(); // it may know nothing
-        if let Some((_, up)) = self.links.get(&id) {
-            up.notify_waiters();
+    /// Registers a connection that another replica has made to this one. Returns the connection's number;
+    /// messages on earlier connections no longer count.
+    pub fn on_inbound_connection(&mut self, id: Id) -> u64 {
+        self.add_known_replica(id);
+        self.last_id += 1;
+        self.connections.insert(id, self.last_id);
+        self.gossiped_edges.clear(); // the replica may have just started and know no edges
+        if let Some((_, dialled_by_peer)) = self.links.get(&id) {
+            dialled_by_peer.notify_waiters();
         }
-        self.next
+        self.last_id
     }
 
-    pub(super) fn post(&self, to: Id, peer: &Peer) {
+    /// Sends a message to another replica, if there is a link to it.
+    pub(super) fn send_to(&self, to: Id, message: &Peer) {
         if let Some((link, _)) = self.links.get(&to) {
-            let _ = link.try_send(Rc::new(frame(peer))); // a full link drops: the agreement sends again
+            // Dropped if the link's queue is full: the consensus protocol sends again.
+            let _ = link.try_send(Rc::new(frame(message)));
         }
     }
 
-    /// To all machines known; made once.
-    pub(super) fn post_all(&self, peer: &Peer) {
-        let bytes = Rc::new(frame(peer));
-        for (link, _) in self.known.iter().filter_map(|id| self.links.get(id)) {
-            let _ = link.try_send(Rc::clone(&bytes)); // a full link drops: such things are told again
+    /// Sends a message, encoded once, to all known replicas.
+    pub(super) fn broadcast(&self, message: &Peer) {
+        let bytes = Rc::new(frame(message));
+        for (link, _) in self.known_replicas.iter().filter_map(|id| self.links.get(id)) {
+            // Dropped if the link's queue is full: such messages are sent periodically.
+            let _ = link.try_send(Rc::clone(&bytes));
         }
     }
 }
--- /dev/null
+++ b/crates/control-plane/src/core/requests.rs
@@ -0,0 +1,481 @@
+//! Requests and heartbeats: executed here if this replica leads, otherwise forwarded to the leader, for as
+//! long as their callers wait.
+
+use super::{Core, Millis, SharedCore};
+use milletwing_config::{event, Configuration, Kind};
+use milletwing_consensus::{LogPosition, Role};
+use milletwing_replicated_state::registry::Verdict;
+use milletwing_replicated_state::view::digest;
+use milletwing_replicated_state::{Beat, Command, State, View};
+use milletwing_wire::{Answer, CoreRequest, Peer};
+use std::cell::Cell;
+use std::collections::{BTreeMap, VecDeque};
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+/// Milliseconds without hearing the leader after which a replica acknowledges no heartbeat: an election is
+/// over by then.
+const HEARTBEAT_ACK_FRESHNESS_MS: Millis = 2_000;
+/// Pause before a request without a definite answer is retried within its caller's time.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// How long to wait for the leader's answer before the request is forwarded again.
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(450);
+/// How long after its arrival a call may still learn of requests that were committed before it: less than
+/// any caller waits before it calls again.
+const FENCE_REFRESH_WINDOW: Duration = Duration::from_millis(400);
+/// Maximum number of evacuation requests remembered by their number.
+const MAX_REMEMBERED_REQUESTS: usize = 256;
+/// The state in the heartbeats of a marshal that is leaving.
+const DRAINING: &str = "draining";
+
+/// Evacuation requests that this replica proposed as leader, so that a request forwarded twice is proposed
+/// once.
+#[derive(Default)]
+pub(super) struct ProposedEvacuations(VecDeque<(u64, LogPosition)>);
+
+impl ProposedEvacuations {
+    /// Returns the log position at which a request was proposed.
+    fn position_of(&self, request_number: u64) -> Option<LogPosition> {
+        self.0.iter().find(|(known, _)| *known == request_number).map(|(_, position)| *position)
+    }
+
+    /// Records a request proposed here.
+    fn record(&mut self, request_number: u64, position: LogPosition) {
+        self.0.push_back((request_number, position));
+        if self.0.len() > MAX_REMEMBERED_REQUESTS {
+            self.0.pop_front();
+        }
+    }
+}
+
+/// The newest entries about each zone and each service's rollouts, applied here one by one or proposed here
+/// and not applied yet. If the state came as a snapshot, its last entry counts as a change of everything.
+pub(super) struct NewestEntries {
+    since: u64,
+    zones: BTreeMap<String, u64>,
+    services: BTreeMap<String, u64>,
+}
+
+impl NewestEntries {
+    /// Starts from a snapshot as of this entry, of which nothing else is known.
+    pub(super) fn since(index: u64) -> NewestEntries {
+        NewestEntries { since: index, zones: BTreeMap::new(), services: BTreeMap::new() }
+    }
+
+    /// Records an applied entry.
+    pub(super) fn record(&mut self, index: u64, command: &Command) {
+        match command {
+            Command::Evacuate { zone, .. } => self.set_zone(zone, index),
+            Command::RollOut { service, .. } | Command::Settle { service, .. } => {
+                self.set_service(service, index);
+            }
+            _ => {}
+        }
+    }
+
+    fn set_zone(&mut self, zone: &str, index: u64) {
+        self.zones.insert(zone.into(), index);
+    }
+
+    fn set_service(&mut self, service: &str, index: u64) {
+        self.services.insert(service.into(), index);
+    }
+
+    /// Whether there is, or may be, an entry about this zone after `seen`.
+    fn zone_changed_after(&self, zone: &str, seen: u64) -> bool {
+        self.zones.get(zone).copied().unwrap_or(self.since) > seen
+    }
+
+    /// The same for the rollouts of a service.
+    fn service_changed_after(&self, service: &str, seen: u64) -> bool {
+        self.services.get(service).copied().unwrap_or(self.since) > seen
+    }
+}
+
+/// Wraps an answer that is available immediately.
+fn ready_answer(answer: Answer) -> oneshot::Receiver<Answer> {
+    let (sender, outcome) = oneshot::channel();
+    let _ = sender.send(answer); // the receiver is right here, so this cannot fail
+    outcome
+}
+
+/// Services whose newest rollout was reverted.
+pub(super) fn reverted_services(view: &View) -> impl Iterator<Item = String> + '_ {
+    let reverted = view.rollouts.iter().filter(|(_, rollout)| rollout.state == State::Reverted);
+    reverted.map(|(service, _)| service.clone())
+}
+
+impl Core {
+    /// Proposes an entry, and returns a receiver of its outcome.
+    pub(super) fn propose(&mut self, command: &Command) -> Option<oneshot::Receiver<Answer>> {
+        let now = self.now();
+        let (term, index) = self.member.propose(now, command.bytes())?;
+        Some(self.wait_for_entry(term, index))
+    }
+
+    /// Executes a request, if this replica leads and knows everything that was committed before.
+    pub(super) async fn execute_as_leader(shared: &SharedCore, request: CoreRequest) -> Answer {
+        let outcome = {
+            let core = &mut *shared.borrow_mut();
+            // Guards against a new leader that decides by a state to which not all committed entries were
+            // applied. A read waits for that by itself.
+            if core.member.role() != Role::Leader || (request != CoreRequest::Read && !core.member.current())
+            {
+                return Answer::NotTaken;
+            }
+            core.execute(request)
+        };
+        Core::advance(shared);
+        match outcome {
+            Some(outcome) => outcome.await.unwrap_or(Answer::Unsure),
+            None => Answer::NotTaken,
+        }
+    }
+
+    /// Executes a request as leader. Returns a receiver of its outcome, or none if it cannot be accepted.
+    fn execute(&mut self, request: CoreRequest) -> Option<oneshot::Receiver<Answer>> {
+        let now = self.now();
+        match request {
+            CoreRequest::Beat { id, beat } => {
+                let verdict = self.registry.beat(now, &self.view, &id, &beat);
+                self.execute_verdict(verdict)
+            }
+            CoreRequest::Leave { id } => {
+                let verdict = self.registry.leave(&self.view, &id);
+                self.execute_verdict(verdict)
+            }
+            CoreRequest::Configure(command) => self.propose(&command),
+            CoreRequest::RollOut { service, revision, .. }
+                if self.was_just_reverted(now, &service, &revision) =>
+            {
+                self.execute_verdict(Verdict::Known)
+            }
+            CoreRequest::RollOut { seen, service, revision, period_ms } => {
+                let current = self.view.rollouts.get(&service);
+                let same =
+                    current.is_some_and(|rollout| rollout.to == revision && rollout.state == State::Active);
+                if !same && self.newest_entries.service_changed_after(&service, seen) {
+                    return Some(ready_answer(Answer::Outdated));
+                }
+                self.newest_entries.set_service(&service, self.member.positions().1 .1 + 1);
+                self.propose(&Command::RollOut { service, revision, period_ms })
+            }
+            CoreRequest::Evacuate { order: request_number, seen, zone, on } => {
+                self.propose_evacuation(now, (request_number, seen), zone, on)
+            }
+            CoreRequest::Read => {
+                self.last_id += 1;
+                let token = self.last_id;
+                let (sender, outcome) = oneshot::channel();
+                self.pending_reads.insert(token, sender);
+                self.member.read(now, token).then_some(outcome)
+            }
+            CoreRequest::Retire { id } => self.retire(now, id),
+        }
+    }
+
+    /// Proposes to evacuate a zone or to end its evacuation, once however often the request is forwarded to
+    /// this leader.
+    fn propose_evacuation(
+        &mut self,
+        now: Millis,
+        (request_number, seen): (u64, u64),
+        zone: String,
+        on: bool,
+    ) -> Option<oneshot::Receiver<Answer>> {
+        if let Some((term, index)) = self
+            .proposed_evacuations
+            .position_of(request_number)
+            .filter(|(term, _)| *term == self.member.term())
+        {
+            if self.view.index >= index {
+                return self.execute_verdict(Verdict::Known);
+            }
+            return Some(self.wait_for_entry(term, index));
+        }
+        // Guards against a call that was delayed until a later request about this zone was acknowledged.
+        if self.newest_entries.zone_changed_after(&zone, seen) {
+            return Some(ready_answer(Answer::Outdated));
+        }
+        let command = if on {
+            let sure = self.is_new_evacuation(now, &zone);
+            Command::Evacuate { zone: zone.clone(), on: true, sure, deals: Vec::new() }
+        } else {
+            self.end_evacuation_command(now, zone.clone())
+        };
+        let position = self.member.propose(now, command.bytes())?;
+        self.newest_entries.set_zone(&zone, position.1);
+        self.proposed_evacuations.record(request_number, position);
+        Some(self.wait_for_entry(position.0, position.1))
+    }
+
+    /// Returns a receiver of the outcome of the entry at this index and term.
+    pub(super) fn wait_for_entry(&mut self, term: u64, index: u64) -> oneshot::Receiver<Answer> {
+        let (sender, outcome) = oneshot::channel();
+        self.waiters.entry(index).or_default().push((term, sender));
+        outcome
+    }
+
+    /// Records the reverted rollouts in a received snapshot as reverted just now, since the actual time is
+    /// unknown.
+    pub(super) fn record_reverted_rollouts(&mut self) {
+        let now = self.now();
+        for service in reverted_services(&self.view) {
+            self.reverted_at.entry(service).or_insert(now);
+        }
+    }
+
+    /// Whether a request to evacuate a zone that is already evacuated is certainly a new one and no retry:
+    /// a call is retried for `ackS` at most.
+    pub(super) fn is_new_evacuation(&self, now: Millis, zone: &str) -> bool {
+        let retry_window = (self.settings.timers.guarantees.ackS * 1_000.0) as Millis + 1_000;
+        self.evacuated_at.get(zone).is_some_and(|at| now > at + retry_window)
+    }
+
+    /// Builds the command that ends a zone's evacuation.
+    pub(super) fn end_evacuation_command(&mut self, now: Millis, zone: String) -> Command {
+        if self.view.evacuated.get(&zone).is_some_and(|emptied| emptied.orders == 1) {
+            return self.registry.take_back(now, &self.view, &zone, &Core::warmup_seconds(&self.view));
+        }
+        Command::Evacuate { zone, on: false, sure: false, deals: Vec::new() }
+    }
+
+    /// Returns commands for zones with two evacuation requests of which one was cancelled: after a while the
+    /// other is taken for a retry of the same request, and cancelled too.
+    pub(super) fn end_unmatched_evacuations(&mut self, now: Millis) -> Vec<Command> {
+        let half_cancelled: Vec<String> = self
+            .view
+            .evacuated
+            .iter()
+            .filter(|(_, emptied)| emptied.back && emptied.certain == 0)
+            .map(|(zone, _)| zone.clone())
+            .collect();
+        self.unmatched_since.retain(|zone, _| half_cancelled.contains(zone));
+        let bounds = &self.settings.timers.guarantees;
+        let retry_window = (bounds.evacuationS.max(bounds.ackS) * 1_000.0) as Millis;
+        let due: Vec<String> = half_cancelled
+            .into_iter()
+            .filter(|zone| now >= *self.unmatched_since.entry(zone.clone()).or_insert(now) + retry_window)
+            .collect();
+        due.into_iter().map(|zone| self.end_evacuation_command(now, zone)).collect()
+    }
+
+    /// Whether a request names a rollout that was reverted just now. Guards against a call that got no
+    /// definite answer and is retried: it must not try the bad version a second time.
+    pub(super) fn was_just_reverted(&self, now: Millis, service: &str, revision: &str) -> bool {
+        let retry_window = (self.settings.timers.guarantees.ackS * 2_000.0) as Millis;
+        let rollout = self.view.rollouts.get(service);
+        let same = rollout.is_some_and(|rollout| rollout.to == revision && rollout.state == State::Reverted);
+        same && self.reverted_at.get(service).is_some_and(|at| now < at + retry_window)
+    }
+
+    /// Executes the registry's verdict on a heartbeat or a departure.
+    pub(super) fn execute_verdict(&mut self, verdict: Verdict) -> Option<oneshot::Receiver<Answer>> {
+        match verdict {
+            // Twice the weight: the first marshal of a service also records the version that has its
+            // traffic.
+            Verdict::Enter(Command::NodeUp(node)) => match self.view.admits(2 * node.weight()) {
+                Ok(()) => self.propose(&Command::NodeUp(node)),
+                Err(kind) => {
+                    event!(Refused, "{}: {kind}", node.id);
+                    Some(ready_answer(Answer::Refused(kind.answer().status, kind.to_string())))
+                }
+            },
+            Verdict::Enter(command) => self.propose(&command),
+            Verdict::Known => Some(ready_answer(Answer::Done(self.view.index))),
+        }
+    }
+
+    /// Executes a request here or at the leader, retrying for as long as its caller waits.
+    /// [`Answer::NotTaken`] is definite: no leader has accepted it.
+    pub async fn submit(shared: &SharedCore, request: CoreRequest, timeout: Duration) -> Answer {
+        let maybe_accepted = Cell::new(false);
+        let attempts = async {
+            loop {
+                let answer = if shared.borrow().member.role() == Role::Leader {
+                    // Until the answer comes, the request may have been proposed.
+                    let accepted_before = maybe_accepted.replace(true);
+                    let answer = Core::execute_as_leader(shared, request.clone()).await;
+                    maybe_accepted.set(accepted_before || !answer.not_taken());
+                    answer
+                } else {
+                    Core::forward_to_leader(shared, request.clone(), &maybe_accepted).await
+                };
+                match answer {
+                    Answer::Done(_) | Answer::Refused(..) => return answer,
+                    // Definite, unless an earlier attempt was accepted by a leader that is gone.
+                    Answer::Outdated if !maybe_accepted.get() => return answer,
+                    Answer::Unsure | Answer::NotTaken | Answer::Outdated => {
+                        tokio::time::sleep(RETRY_PAUSE).await
+                    }
+                }
+            }
+        };
+        match tokio::time::timeout(timeout, attempts).await {
+            Ok(answer) => answer,
+            Err(_) if maybe_accepted.get() => Answer::Unsure,
+            Err(_) => Answer::NotTaken,
+        }
+    }
+
+    /// Forwards a request to the leader. `maybe_accepted` is set while the leader may have accepted it.
+    async fn forward_to_leader(
+        shared: &SharedCore,
+        request: CoreRequest,
+        maybe_accepted: &Cell<bool>,
+    ) -> Answer {
+        let outcome = {
+            let core = &mut *shared.borrow_mut();
+            let Some(leader) = core.leader.filter(|leader| *leader != core.settings.id()) else {
+                return Answer::NotTaken;
+            };
+            let (call, outcome) = core.forwarded_calls.begin(leader);
+            core.send_to(leader, &Peer::Call { call, ask: request });
+            outcome
+        };
+        let accepted_before = maybe_accepted.replace(true);
+        let answer = tokio::time::timeout(FORWARD_TIMEOUT, outcome).await;
+        let answer = answer.map_or(Answer::Unsure, |answer| answer.unwrap_or(Answer::Unsure));
+        maybe_accepted.set(accepted_before || !answer.not_taken());
+        answer
+    }
+
+    /// Handles a marshal's heartbeat: known facts are acknowledged here, everything else goes to the
+    /// leader. A replica that has not heard its leader for long acknowledges nothing, so that the marshal
+    /// tries another.
+    pub async fn heartbeat(shared: &SharedCore, id: String, beat: Beat, timeout: Duration) -> Answer {
+        let known = {
+            let core = &mut *shared.borrow_mut();
+            let now = core.now();
+            let leads = core.member.role() == Role::Leader;
+            if !leads && !core.member.fresh(now, HEARTBEAT_ACK_FRESHNESS_MS) {
+                return Answer::NotTaken;
+            }
+            // Guards against acknowledging the departure of a marshal whose arrival this replica has not
+            // applied yet.
+            let certain = beat.state != DRAINING || core.view.knows_that_it_leaves(&id);
+            let verdict = (!leads).then(|| core.registry.beat(now, &core.view, &id, &beat));
+            (verdict == Some(Verdict::Known) && certain).then_some(core.view.index)
+        };
+        match known {
+            Some(index) => Answer::Done(index),
+            None => Core::submit(shared, CoreRequest::Beat { id, beat }, timeout).await,
+        }
+    }
+
+    /// Changes the configuration if the version in force is `if_match`. Errors: the configuration is
+    /// invalid, or certainly builds on another version than the one in force; either way nothing is
+    /// changed.
+    pub async fn configure(
+        shared: &SharedCore,
+        if_match: Option<u64>,
+        body: &[u8],
+        timeout: Duration,
+    ) -> Result<Answer, Kind> {
+        let revision = Configuration::read(body)?.revision;
+        let body_digest = digest(body);
+        let deadline = Instant::now() + timeout;
+        // A 412 is definite only once this replica knows everything that was acknowledged before the call.
+        for is_up_to_date in [false, true] {
+            let command = {
+                let core = shared.borrow();
+                if core.view.took(revision, &body_digest) {
+                    return Ok(Answer::Done(core.view.index));
+                }
+                let if_match = if_match.ok_or(Kind::NoMatch)?;
+                if core.view.revision == if_match {
+                    // Checked before the entry is proposed, to guard against a state too large for replicas
+                    // to read.
+                    core.view.admits(body.len().saturating_sub(core.view.body.len()))?;
+                    Some(core.view.to_configure(revision, body)?)
+                } else if is_up_to_date {
+                    return Err(Kind::Stale(core.view.revision));
+                } else {
+                    None
+                }
+            };
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            match command {
+                Some(command) => {
+                    return Ok(Core::submit(shared, CoreRequest::Configure(command), remaining).await)
+                }
+                None => drop(Core::read_barrier(shared, remaining).await?),
+            }
+        }
+        Ok(Answer::NotTaken)
+    }
+
+    /// Evacuates a zone on an operator's request, or ends its evacuation. A call that is delayed and
+    /// arrives after a later request changes nothing.
+    pub async fn set_evacuation(shared: &SharedCore, zone: &str, on: bool, timeout: Duration) -> Answer {
+        let request_number = shared.borrow_mut().random_u64();
+        let request = |seen| CoreRequest::Evacuate { order: request_number, seen, zone: zone.into(), on };
+        Core::submit_fenced(shared, request, timeout).await
+    }
+
+    /// Starts a rollout of a version on an operator's request; a delayed call changes nothing here either.
+    pub async fn start_rollout(
+        shared: &SharedCore,
+        service: String,
+        revision: String,
+        period_ms: u64,
+        timeout: Duration,
+    ) -> Result<Answer, Kind> {
+        let deadline = Instant::now() + timeout;
+        let is_known = |core: &Core| {
+            core.view.configuration().is_none_or(|configuration| configuration.targets.contains_key(&service))
+        };
+        if !is_known(&shared.borrow()) {
+            // This replica may lag behind: not knowing the service yet is no reason to refuse.
+            Core::read_barrier(shared, timeout).await?;
+            if !is_known(&shared.borrow()) {
+                return Err(Kind::Unknown(format!("service {service}")));
+            }
+        }
+        let request = |seen| {
+            let (service, revision) = (service.clone(), revision.clone());
+            CoreRequest::RollOut { seen, service, revision, period_ms }
+        };
+        Ok(Core::submit_fenced(shared, request, deadline.saturating_duration_since(Instant::now())).await)
+    }
+
+    /// Submits a request that is void once a later one about the same subject is committed. This replica
+    /// may lag behind what the caller already knows: if the call has just arrived, it then asks for the
+    /// current end of the log and tries again.
+    async fn submit_fenced(
+        shared: &SharedCore,
+        request: impl Fn(u64) -> CoreRequest,
+        timeout: Duration,
+    ) -> Answer {
+        let (started_at, deadline) = (Instant::now(), Instant::now() + timeout);
+        let seen = shared.borrow().view.index;
+        let answer = Core::submit(shared, request(seen), timeout).await;
+        if answer != Answer::Outdated {
+            return answer;
+        }
+        let Some(remaining) = FENCE_REFRESH_WINDOW.checked_sub(started_at.elapsed()) else { return answer };
+        match Core::read_barrier(shared, remaining).await {
+            Ok(seen) => {
+                Core::submit(shared, request(seen), deadline.saturating_duration_since(Instant::now())).await
+            }
+            Err(_) => answer,
+        }
+    }
+
+    /// Waits until everything that was acknowledged before this call is applied here. Returns the index of
+    /// the last such entry.
+    pub async fn read_barrier(shared: &SharedCore, timeout: Duration) -> Result<u64, Kind> {
+        let deadline = Instant::now() + timeout;
+        let Answer::Done(index) = Core::submit(shared, CoreRequest::Read, timeout).await else {
+            return Err(Kind::NoLeader); // a read changes nothing, so an unknown outcome is no concern
+        };
+        while shared.borrow().view.index < index {
+            if Instant::now() >= deadline {
+                return Err(Kind::NoLeader);
+            }
+            tokio::time::sleep(Duration::from_millis(10)).await;
+        }
+        Ok(index)
+    }
+}
--- a/crates/control-plane/src/core/rollouts.rs
+++ b/crates/control-plane/src/core/rollouts.rs
@@ -1,82 +1,88 @@
-//! Versions on trial, as this machine judges them while it leads.
+//! Version trials, as judged while this replica leads.
 
-use super::{Core, Judged, Time};
+use super::{Core, Millis, Trial};
 use milletwing_consensus::Role;
 use milletwing_replicated_state::{Command, RollOut, State};
 use milletwing_sequential_test::{self as sequential_test, cap, latest, pace, Report, LAST};
 use milletwing_wire::Peer;
 
 impl Core {
-    /// What follows for the trials under way.
-    pub(super) fn judge(&mut self, now: Time) -> Vec<Command> {
-        let mut out = Vec::new();
+    /// Returns commands to advance, complete or revert the trials in progress.
+    pub(super) fn trial_commands(&mut self, now: Millis) -> Vec<Command> {
+        let mut commands = Vec::new();
         let active: Vec<(String, RollOut)> = self
             .view
             .rollouts
             .iter()
-            .filter(|(_, roll)| roll.state == State::Active)
-            .map(|(service, roll)| (service.clone(), roll.clone()))
+            .filter(|(_, rollout)| rollout.state == State::Active)
+            .map(|(service, rollout)| (service.clone(), rollout.clone()))
             .collect();
-        self.trials.retain(|number, _| active.iter().any(|(_, roll)| roll.number == *number));
-        for (service, roll) in active {
-            let trial = self.trials.entry(roll.number).or_insert_with(|| Judged {
-                begun: now,
-                started: now,
-                nodes: 0,
-                tally: sequential_test::Tally::new(now, roll.stage),
+        self.trials.retain(|number, _| active.iter().any(|(_, rollout)| rollout.number == *number));
+        for (service, rollout) in active {
+            let trial = self.trials.entry(rollout.number).or_insert_with(|| Trial {
+                known_since: now,
+                newest_marshal_since: now,
+                marshals: 0,
+                tally: sequential_test::Tally::new(now, rollout.stage),
             });
-            trial.tally.moved(now, roll.stage);
-            let nodes = self
+            trial.tally.moved(now, rollout.stage);
+            let marshals = self
                 .view
                 .nodes
                 .values()
-                .filter(|node| node.target == service && node.revision == roll.to)
+                .filter(|node| node.target == service && node.revision == rollout.to)
                 .count();
-            if nodes > trial.nodes {
-                (trial.nodes, trial.started) = (nodes, now);
+            if marshals > trial.marshals {
+                (trial.marshals, trial.newest_marshal_since) = (marshals, now);
             }
-            // One that nothing has moved to its end by the end of its time goes back, doubtful ones among them.
-            let end = trial.begun + roll.period_ms * 19 / 20;
-            let over = now >= end;
-            let pace = pace(roll.period_ms);
-            let latest = latest(roll.stage, end, pace);
-            let step = if nodes == 0 { None } else { trial.tally.step(now, trial.started, pace, latest) };
-            let number = roll.number;
-            out.extend(match (step, over) {
-                (Some(sequential_test::Move::On), _) if roll.stage >= LAST => {
+            // A version that has not been accepted by the end of its period is reverted, also if the
+            // evidence is inconclusive.
+            let end = trial.known_since + rollout.period_ms * 19 / 20;
+            let expired = now >= end;
+            let pace = pace(rollout.period_ms);
+            let latest = latest(rollout.stage, end, pace);
+            let step = if marshals == 0 {
+                None
+            } else {
+                trial.tally.step(now, trial.newest_marshal_since, pace, latest)
+            };
+            let number = rollout.number;
+            commands.extend(match (step, expired) {
+                (Some(sequential_test::Move::On), _) if rollout.stage >= LAST => {
                     Some(Command::Settle { service, number, good: true })
                 }
                 (Some(sequential_test::Move::Back), _) | (None, true) => {
                     Some(Command::Settle { service, number, good: false })
                 }
                 (Some(sequential_test::Move::On), _) => {
-                    Some(Command::Stage { service, number, stage: roll.stage + 1 })
+                    Some(Command::Stage { service, number, stage: rollout.stage + 1 })
                 }
                 (None, false) => None,
             });
         }
-        out
+        commands
     }
 
-    /// The evidence on a trial in words, where this machine leads.
-    pub(super) fn evidence(&self, number: u64) -> String {
-        let judged = self.trials.get(&number).filter(|_| self.role == Role::Leader);
-        judged.map(|judged| format!(", {}", judged.tally.tell())).unwrap_or_default()
+    /// Describes the evidence on a trial, if this replica leads.
+    pub(super) fn describe_evidence(&self, number: u64) -> String {
+        let trial = self.trials.get(&number).filter(|_| self.role == Role::Leader);
+        trial.map(|trial| format!(", {}", trial.tally.tell())).unwrap_or_default()
     }
 
-    /// The trials under way, and the ends of earlier ones; evidence and votes where this machine leads.
-    pub fn trials(&self) -> serde_json::Value {
-        let rows = self.view.rollouts.iter().map(|(service, roll)| {
-            let judged = self.trials.get(&roll.number).filter(|_| self.role == Role::Leader);
-            serde_json::json!({"service": service, "to": roll.to, "state": roll.state.word(), "stage": roll.stage,
-                "cap": cap(roll.stage, self.settings.timers.guarantees.exposureShare),
-                "evidence": judged.map(|judged| judged.tally.tell())})
+    /// Lists trials in progress and the outcomes of earlier ones; with evidence and votes only if this
+    /// replica leads.
+    pub fn trials_json(&self) -> serde_json::Value {
+        let rows = self.view.rollouts.iter().map(|(service, rollout)| {
+            let trial = self.trials.get(&rollout.number).filter(|_| self.role == Role::Leader);
+            serde_json::json!({"service": service, "to": rollout.to, "state": rollout.state.word(), "stage": rollout.stage,
+                "cap": cap(rollout.stage, self.settings.timers.guarantees.exposureShare),
+                "evidence": trial.map(|trial| trial.tally.tell())})
         });
         serde_json::json!({"leads": self.role == Role::Leader, "trials": rows.collect::<Vec<_>>()})
     }
 
-    /// What an edge tells of the trials: to whoever leads.
-    pub fn reports(&mut self, edge: u32, life: u64, reports: Vec<Report>) {
+    /// Passes an edge's trial reports on to the leader.
+    pub fn on_trial_reports(&mut self, edge: u32, life: u64, reports: Vec<Report>) {
         let now = self.now();
         if self.role == Role::Leader {
             for report in reports {
@@ -85,7 +91,7 @@
                 }
             }
         } else if let Some(leader) = self.leader {
-            self.post(leader, &Peer::Reports { edge, life, reports });
+            self.send_to(leader, &Peer::Reports { edge, life, reports });
         }
     }
 }
--- a/crates/control-plane/src/core/subscriptions.rs
+++ b/crates/control-plane/src/core/subscriptions.rs
@@ -1,6 +1,6 @@
-//! What edges are told: entries as they are folded, whole states, pulses, steps to bring one back.
+//! What is sent to edges: applied entries, full states, status broadcasts, and repair steps.
 
-use super::{Core, Feed, Time, Word, FRESH};
+use super::{Core, EdgeFeed, EdgeFrame, Millis, FRESHNESS_MS};
 use milletwing_drift_detection::Step;
 use milletwing_replicated_state::EdgeStatus;
 use milletwing_wire::{frame, ToEdge};
@@ -8,100 +8,125 @@
 use tokio::sync::mpsc;
 
 impl Core {
-    /// An edge's connection: what it lacks goes into its queue from now on.
-    pub fn attach(&mut self, edge: EdgeStatus, index: u64) -> (u64, mpsc::Receiver<Word>) {
-        let (send, queue) = mpsc::channel(256);
-        self.next += 1;
-        let (id, now) = (self.next, self.now());
+    /// Registers an edge's connection; from now on the entries that the edge lacks are put into its queue.
+    pub fn attach_edge(&mut self, edge: EdgeStatus, index: u64) -> (u64, mpsc::Receiver<EdgeFrame>) {
+        let (sender, queue) = mpsc::channel(256);
+        self.last_id += 1;
+        let (id, now) = (self.last_id, self.now());
         self.drift.checker.attach(now, edge.id, edge.life);
-        self.feeds.insert(id, Feed { edge: edge.id, life: edge.life, sent: index, folded: index, send });
+        self.feeds.insert(
+            id,
+            EdgeFeed {
+                edge: edge.id,
+                incarnation: edge.life,
+                sent_index: index,
+                applied_index: index,
+                sender,
+            },
+        );
         self.registry.edge(now, edge, 0);
-        self.feed(id);
+        self.send_updates(id);
         (id, queue)
     }
 
-    /// An edge's connection has ended.
-    pub fn detach(&mut self, id: u64) {
+    /// Removes an edge's connection.
+    pub fn detach_edge(&mut self, id: u64) {
         if let Some(feed) = self.feeds.remove(&id) {
-            let other = self.feeds.values().any(|it| (it.edge, it.life) == (feed.edge, feed.life));
-            if !other {
-                self.drift.checker.detach(feed.edge, feed.life);
+            let still_connected = self
+                .feeds
+                .values()
+                .any(|other| (other.edge, other.incarnation) == (feed.edge, feed.incarnation));
+            if !still_connected {
+                self.drift.checker.detach(feed.edge, feed.incarnation);
             }
         }
     }
 
-    /// Whether an edge's connection still counts: one that doesn't take what it is sent is ended.
-    pub fn attached(&self, id: u64) -> bool {
+    /// Whether an edge's connection is still registered.
+    pub fn is_attached(&self, id: u64) -> bool {
         self.feeds.contains_key(&id)
     }
 
-    pub(super) fn feed(&mut self, id: u64) {
-        let (index, configured) = (self.view.index, self.view.index > 0);
+    /// Queues for an edge the entries that it lacks, or the full state if some of them are no longer kept.
+    /// An edge whose queue is full is removed.
+    pub(super) fn send_updates(&mut self, id: u64) {
+        let (index, has_state) = (self.view.index, self.view.index > 0);
         let Some(feed) = self.feeds.get_mut(&id) else { return };
-        if feed.sent >= index || !configured {
-            return; // it knows as much, or more than this machine that lags
+        if feed.sent_index >= index || !has_state {
+            return; // the edge knows as much, or more if this replica lags behind it
         }
-        let reaches = self.recent.front().is_some_and(|(first, _)| *first <= feed.sent + 1) && feed.sent > 0;
-        let message = if reaches {
-            let from = self.recent.partition_point(|(at, _)| *at <= feed.sent);
-            let entries =
-                self.recent.iter().skip(from).map(|(at, bytes)| (*at, bytes.as_ref().clone())).collect();
+        let can_resume = self.recent_entries.front().is_some_and(|(first, _)| *first <= feed.sent_index + 1)
+            && feed.sent_index > 0;
+        let message = if can_resume {
+            let from = self.recent_entries.partition_point(|(at, _)| *at <= feed.sent_index);
+            let entries = self
+                .recent_entries
+                .iter()
+                .skip(from)
+                .map(|(at, bytes)| (*at, bytes.as_ref().clone()))
+                .collect();
             Some(Rc::new(frame(&ToEdge::Entries(entries))))
         } else {
-            if self.whole.as_ref().is_none_or(|(at, _)| *at != index) {
-                self.whole = Some((index, Rc::new(frame(&ToEdge::Whole(self.view.packed())))));
+            if self.full_state_frame.as_ref().is_none_or(|(at, _)| *at != index) {
+                self.full_state_frame = Some((index, Rc::new(frame(&ToEdge::Whole(self.view.packed())))));
             }
             None
         };
-        let Some(bytes) = message.or_else(|| self.whole.as_ref().map(|(_, bytes)| Rc::clone(bytes))) else {
+        let Some(bytes) =
+            message.or_else(|| self.full_state_frame.as_ref().map(|(_, bytes)| Rc::clone(bytes)))
+        else {
             return;
         };
-        feed.sent = index;
-        if feed.send.try_send((None, bytes)).is_err() {
+        feed.sent_index = index;
+        if feed.sender.try_send((None, bytes)).is_err() {
             self.feeds.remove(&id);
         }
     }
 
-    /// What all edges here are told five times a second: made once, and left out where something still waits before it, so
-    /// that a word is never old when it arrives.
-    pub(super) fn pulse(&mut self, now: Time) {
-        let loads = self.board.news(now);
-        self.drift.reflect(now, &self.view);
-        let bytes = Rc::new(frame(&self.pulsed(now, loads)));
+    /// Sends all connected edges the current status, five times a second. It is encoded once, and skipped
+    /// for an edge whose queue is not empty, so that a status is never old when it arrives.
+    pub(super) fn broadcast_status(&mut self, now: Millis) {
+        let loads = self.host_loads.news(now);
+        self.drift.update_own_digest(now, &self.view);
+        let bytes = Rc::new(frame(&self.status_message(now, loads)));
         for feed in self.feeds.values() {
-            if feed.send.capacity() == feed.send.max_capacity() {
-                let _ = feed.send.try_send((Some(now), Rc::clone(&bytes)));
+            if feed.sender.capacity() == feed.sender.max_capacity() {
+                let _ = feed.sender.try_send((Some(now), Rc::clone(&bytes)));
             }
         }
     }
 
-    pub(super) fn pulsed(&self, now: Time, loads: Vec<(u32, u16)>) -> ToEdge {
+    /// Builds a status broadcast.
+    pub(super) fn status_message(&self, now: Millis, loads: Vec<(u32, u16)>) -> ToEdge {
         let mut cores = self.member.members().to_vec();
         if cores.is_empty() {
             cores.push(self.settings.id());
         }
-        let fresh = self.member.fresh(now, FRESH) && !self.member.lost() && !self.drift.odd(now);
+        let fresh =
+            self.member.fresh(now, FRESHNESS_MS) && !self.member.lost() && !self.drift.is_outlier(now);
         let edges = self.registry.ready(now).len() as u32;
         ToEdge::Pulse { fresh, index: self.view.index, cores, edges, loads }
     }
 
-    /// A step that was agreed, for an edge that this machine tells.
-    pub(super) fn repair(&mut self, edge: u32, life: u64, step: Step) {
-        let of = |feed: &Feed| (feed.edge, feed.life) == (edge, life);
-        let Some(id) = self.feeds.iter().find(|(_, feed)| of(feed)).map(|(id, _)| *id) else { return };
+    /// Sends an agreed repair step to an edge, if it is connected to this replica.
+    pub(super) fn send_repair_step(&mut self, edge: u32, life: u64, step: Step) {
+        let is_recipient = |feed: &EdgeFeed| (feed.edge, feed.incarnation) == (edge, life);
+        let Some(id) = self.feeds.iter().find(|(_, feed)| is_recipient(feed)).map(|(id, _)| *id) else {
+            return;
+        };
         let Some(feed) = self.feeds.get_mut(&id) else { return };
         match step {
-            Step::Again => feed.sent = feed.folded.min(feed.sent),
+            Step::Again => feed.sent_index = feed.applied_index.min(feed.sent_index),
             Step::Renew => {
-                feed.sent = self.view.index;
-                let whole = ToEdge::Renew(self.view.packed());
-                if feed.send.try_send((None, Rc::new(frame(&whole)))).is_err() {
-                    self.feeds.remove(&id); // it takes nothing: it will dial anew
+                feed.sent_index = self.view.index;
+                let full_state = ToEdge::Renew(self.view.packed());
+                if feed.sender.try_send((None, Rc::new(frame(&full_state)))).is_err() {
+                    self.feeds.remove(&id); // the edge reads nothing: it will connect again
                 }
             }
             Step::Back | Step::Rest | Step::End => {
-                let _ = feed.send.try_send((None, Rc::new(frame(&ToEdge::Repair(step)))));
-                // the next step is due if it is lost
+                let _ = feed.sender.try_send((None, Rc::new(frame(&ToEdge::Repair(step)))));
+                // if this is lost, the next repair step comes in its place
             }
         }
     }
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -1,8 +1,9 @@
-//! The thread that writes: one batch at a time, synced, reported when it is down. While a write hangs, nothing that depends on
-//! it leaves and everything else goes on. A write that is refused, for lack of room or another fault of the disk, is tried again
-//! with growing pauses on the file opened anew; a file that turns out damaged ends the process, whose next start asks the others.
+//! The thread that writes the log: one batch at a time, synced and then reported as written. While a write
+//! hangs, nothing that depends on it is sent, and everything else goes on. A write that is refused, because
+//! the disk is full or has another fault, is retried with growing pauses on a newly opened file. A file
+//! that turns out to be damaged ends the process, whose next start gets the state from the other replicas.
 
-use crate::core::{Core, Shared, Writes};
+use crate::core::{Core, LogStorage, SharedCore};
 use milletwing_config::{event, Settings};
 use milletwing_consensus::{Batch, Stored};
 use milletwing_replicated_state::View;
@@ -11,29 +12,32 @@
 use std::sync::mpsc::sync_channel;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
-/// Bytes of pages that the file's library keeps in memory.
-const CACHE: usize = 1 << 20;
+/// Page cache of the storage library, in bytes.
+const CACHE_BYTES: usize = 1 << 20;
+
 fn open_file(path: &std::path::Path) -> Result<Opened, Fault> {
-    if let Some(folder) = path.parent() {
-        std::fs::create_dir_all(folder).map_err(Fault::Refused)?;
+    if let Some(directory) = path.parent() {
+        std::fs::create_dir_all(directory).map_err(Fault::Refused)?;
     }
-    LogStore::file_or_anew(path, CACHE, sound)
+    LogStore::file_or_anew(path, CACHE_BYTES, check_contents)
 }
 
-/// Whether what a file holds hangs together, down to the state in it.
-fn sound(stored: &Stored) -> Result<(), String> {
+/// Checks that the contents of a file are consistent, including the replicated state in it.
+fn check_contents(stored: &Stored) -> Result<(), String> {
     let found = milletwing_consensus::inspect(stored)?;
     View::unpacked(&found.data).map(drop)
 }
 
-/// Opens the machine's file, for as long as its disk refuses; without a `stateDir` it lives in memory, and each start is that of
-/// a lost disk. Errors: the file is damaged and can't be replaced, or the thread can't be made.
-pub async fn open(settings: &Settings) -> Result<(Writes, UnboundedReceiver<Report>), String> {
-    let path = settings.own.state_dir.as_ref().map(|folder| PathBuf::from(folder).join("core.redb"));
+/// Opens this replica's file, retrying while the disk refuses. Without a `stateDir` the log is kept in
+/// memory, and each start counts as one with a lost disk. Errors: the file is damaged and cannot be
+/// replaced, or the thread cannot be created.
+pub async fn open(settings: &Settings) -> Result<(LogStorage, UnboundedReceiver<Report>), String> {
+    let path = settings.own.state_dir.as_ref().map(|directory| PathBuf::from(directory).join("core.redb"));
     let (store, stored) = match &path {
         Some(path) => {
-            let opened =
-                opened(path).await.map_err(|why| format!("self.stateDir {}: {why}", path.display()))?;
+            let opened = open_with_retry(path)
+                .await
+                .map_err(|why| format!("self.stateDir {}: {why}", path.display()))?;
             if let Some(damage) = opened.damage {
                 event!(DiskLost, "{damage}");
             }
@@ -42,21 +46,21 @@
         None => (LogStore::memory().map_err(|problem| problem.to_string())?, Stored::default()),
     };
     let reopen = move || match &path {
-        Some(path) => LogStore::file(path, CACHE),
-        None => Err(Fault::Damaged("a state in memory can't be opened again".into())),
+        Some(path) => LogStore::file(path, CACHE_BYTES),
+        None => Err(Fault::Damaged("a log kept in memory cannot be opened again".into())),
     };
-    // One batch is out at a time: the driver hands out the next when it hears of the last.
-    let (send, batches) = sync_channel::<Batch>(1);
-    let (back, written) = unbounded_channel();
-    let work = move || {
+    // One batch is written at a time: the next is handed out once the report on the last has come.
+    let (sender, batches) = sync_channel::<Batch>(1);
+    let (reports, disk_reports) = unbounded_channel();
+    let write_batches = move || {
         let mut writer = Writer::new(store, reopen);
         for batch in batches {
             let report = |report| {
-                let _ = back.send(report); // nobody listens any more: the process ends
+                let _ = reports.send(report); // nobody listens any more: the process is ending
             };
             let pause = |pause| {
                 std::thread::sleep(pause);
-                !back.is_closed()
+                !reports.is_closed()
             };
             if !writer.write(&batch, report, pause) {
                 break;
@@ -66,27 +70,27 @@
     std::thread::Builder::new()
         .name("disk".into())
         .stack_size(512 << 10)
-        .spawn(work)
-        .map_err(|problem| format!("the disk's thread: {problem}"))?;
-    Ok((Writes { stored, send }, written))
+        .spawn(write_batches)
+        .map_err(|problem| format!("cannot start the disk thread: {problem}"))?;
+    Ok((LogStorage { stored, sender }, disk_reports))
 }
 
-/// Opens the file; a disk that refuses is asked again, told once.
-async fn opened(path: &std::path::Path) -> Result<Opened, String> {
+/// Opens the file. If the disk refuses, this is logged once and retried.
+async fn open_with_retry(path: &std::path::Path) -> Result<Opened, String> {
     let mut backoff = Backoff::default();
-    let mut told = false;
+    let mut logged = false;
     loop {
         match open_file(path) {
             Ok(opened) => {
-                if told {
-                    event!(DiskBack, "{} is open", path.display());
+                if logged {
+                    event!(DiskBack, "opened {}", path.display());
                 }
                 return Ok(opened);
             }
             Err(Fault::Damaged(why)) => return Err(why),
-            Err(Fault::Refused(why)) if !told => {
-                told = true;
-                event!(DiskFailed, "{} can't be opened: {why}", path.display());
+            Err(Fault::Refused(why)) if !logged => {
+                logged = true;
+                event!(DiskFailed, "cannot open {}: {why}; retrying", path.display());
             }
             Err(Fault::Refused(_)) => {}
         }
@@ -94,14 +98,14 @@
     }
 }
 
-/// Hears of what was written.
-pub async fn listen(core: Shared, mut written: UnboundedReceiver<Report>) {
-    while let Some(report) = written.recv().await {
+/// Passes the disk thread's reports on to the replica.
+pub async fn forward_reports(core: SharedCore, mut reports: UnboundedReceiver<Report>) {
+    while let Some(report) = reports.recv().await {
         match report {
-            Report::Written => Core::saved(&core),
-            Report::Refused(why) => Core::refused(&core, &why),
+            Report::Written => Core::on_batch_written(&core),
+            Report::Refused(why) => Core::on_write_refused(&core, &why),
             Report::Damaged(why) => {
-                // Guards against promises that are on no disk: the next start takes the disk for a lost one.
+                // Guards against acknowledging what is on no disk: the next start treats the disk as lost.
                 event!(DiskUnusable, "{why}");
                 std::process::exit(3);
             }
--- a/crates/control-plane/src/drift.rs
+++ b/crates/control-plane/src/drift.rs
@@ -1,4 +1,5 @@
-//! Whether edges route by what was agreed, as one machine of the core sees it: `milletwing-drift-detection` with this machine's view.
+//! Whether edges route by the agreed state, as seen by one control-plane replica: applies
+//! `milletwing-drift-detection` to this replica's view.
 
 use milletwing_config::{event, Configuration};
 use milletwing_consensus::Id;
@@ -14,153 +15,163 @@
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
-/// Milliseconds of a steady clock.
-type Time = u64;
+/// Milliseconds of a monotonic clock.
+type Millis = u64;
 
-/// Decisions remembered, for operators who ask after a request.
-const SAMPLES: usize = 2_048;
-/// What another machine of the core said longer ago says nothing.
-const FRESH: Time = 3_000;
-/// Differences named at most.
-const NAMED: usize = 8;
+/// Maximum number of routing decisions kept for operators who look up a request.
+const MAX_SAMPLES: usize = 2_048;
+/// A digest comparison with another replica that is older than this is ignored.
+const DIGEST_FRESHNESS_MS: Millis = 3_000;
+/// Maximum number of differences that are listed.
+const MAX_LISTED_DIFFERENCES: usize = 8;
 
-struct Decision {
-    at: Time,
+/// A sampled routing decision of an edge, with the result of its check.
+struct CheckedDecision {
+    at: Millis,
     edge: u32,
     sample: Sample,
-    found: String,
+    result: String,
 }
 
-/// Checks of the edges that this machine tells, and the leader's record of all.
-pub struct Drift {
+/// Checks whether edges route by the agreed state, and plans repairs.
+pub struct DriftMonitor {
+    /// Checks of the edges connected to this replica.
     pub checker: Checker,
+    /// Findings on all edges and the repairs that follow; used while this replica leads.
     pub repairer: Repairer,
-    /// Routes as they are looked up, of the configuration in force.
+    /// The routing table of the configuration in force.
     table: (Option<Arc<Configuration>>, Table),
-    samples: VecDeque<Decision>,
-    /// Decisions checked, and those that were not as agreed.
-    decided: (u64, u64),
-    /// Edges named, and whether all were in doubt.
-    named: BTreeMap<u32, String>,
-    doubt: bool,
-    /// What other machines of the core last said of the same entry: whether it is what this one has.
-    others: BTreeMap<Id, (Time, bool)>,
+    samples: VecDeque<CheckedDecision>,
+    /// Number of decisions checked, and of those that contradicted the agreed state.
+    decision_counts: (u64, u64),
+    /// The finding last logged of each drifted edge, and whether the alarm that most edges seem to drift
+    /// was logged.
+    logged_findings: BTreeMap<u32, String>,
+    alarm_logged: bool,
+    /// For each other replica, when its digest was last compared with this replica's for the same entry,
+    /// and whether they matched.
+    digest_matches: BTreeMap<Id, (Millis, bool)>,
 }
 
-impl Drift {
-    /// Of edges that may be behind for so many milliseconds.
-    pub fn new(lag: Time) -> Drift {
-        Drift {
+impl DriftMonitor {
+    /// `lag`: for how many milliseconds an edge may be behind.
+    pub fn new(lag: Millis) -> DriftMonitor {
+        DriftMonitor {
             checker: Checker::new(lag),
             repairer: Repairer::default(),
             table: (None, Table::default()),
             samples: VecDeque::new(),
-            decided: (0, 0),
-            named: BTreeMap::new(),
-            doubt: false,
-            others: BTreeMap::new(),
+            decision_counts: (0, 0),
+            logged_findings: BTreeMap::new(),
+            alarm_logged: false,
+            digest_matches: BTreeMap::new(),
         }
     }
 
-    fn follow(&mut self, view: &View) {
+    /// Rebuilds the routing table if the configuration has changed.
+    fn refresh_table(&mut self, view: &View) {
         let Some(configuration) = view.configuration() else { return };
-        if self.table.0.as_ref().is_none_or(|of| !Arc::ptr_eq(of, configuration)) {
+        if self.table.0.as_ref().is_none_or(|current| !Arc::ptr_eq(current, configuration)) {
             self.table = (Some(Arc::clone(configuration)), Table::new(configuration, Salt::default()));
         }
     }
 
-    /// Makes this machine's own digest as of the last entry folded, unless that is there.
-    pub fn reflect(&mut self, now: Time, view: &View) {
+    /// Computes this replica's own digest as of the last applied entry, unless it exists.
+    pub fn update_own_digest(&mut self, now: Millis, view: &View) {
         if view.index == 0 || self.checker.index() == Some(view.index) {
             return;
         }
-        self.follow(view);
+        self.refresh_table(view);
         let mut digest = Digest::default();
         self.table.1.reflect(&mut digest);
         intent::core(view, &mut digest);
         self.checker.own(now, view.index, digest);
     }
 
-    /// The newest own digest.
-    pub fn own(&self) -> Option<(u64, Digest)> {
+    /// Returns the newest digest of this replica.
+    pub fn newest_digest(&self) -> Option<(u64, Digest)> {
         let index = self.checker.index()?;
         self.checker.kept(index).map(|digest| (index, *digest))
     }
 
-    /// What an edge's beat shows.
-    pub fn beat(
+    /// Checks an edge's heartbeat.
+    pub fn check_heartbeat(
         &mut self,
-        now: Time,
+        now: Millis,
         view: &View,
         (edge, index): (u32, u64),
         reflection: Option<Reflection>,
         sample: Option<Sample>,
         fresh: bool,
     ) -> Vec<Finding> {
-        let mut out = Vec::new();
-        out.extend(self.checker.heard(now, edge, index, fresh));
+        let mut findings = Vec::new();
+        findings.extend(self.checker.heard(now, edge, index, fresh));
         if let Some(reflection) = &reflection {
-            let wanted = self.checker.kept(reflection.index).copied().map(|mut wanted| {
+            let expected = self.checker.kept(reflection.index).copied().map(|mut expected| {
                 if reflection.index != view.index {
-                    // Who may send what to a cold marshal is known as of the last entry only.
-                    return wanted.like(&reflection.digest, Part::Deals);
+                    // What an edge may send to a cold marshal is known as of the last entry only.
+                    return expected.like(&reflection.digest, Part::Deals);
                 }
-                intent::deals(view, edge, &mut wanted);
-                wanted
+                intent::deals(view, edge, &mut expected);
+                expected
             });
-            out.push(self.checker.check(now, edge, reflection, wanted, fresh));
+            findings.push(self.checker.check(now, edge, reflection, expected, fresh));
         }
         if let Some(sample) = sample {
-            // By another configuration than the one in force here it was right, or wrong, in its own time.
-            let as_of = sample.revision == view.revision;
-            let found = if as_of { self.decide(view, &sample) } else { None };
-            if let Some(what) = &found {
-                out.push(Finding::Contradicts(what.clone()));
+            // A decision made by a configuration other than the one in force here cannot be checked: it may
+            // have been right when it was made.
+            let same_revision = sample.revision == view.revision;
+            let found = if same_revision { self.check_decision(view, &sample) } else { None };
+            if let Some(contradiction) = &found {
+                findings.push(Finding::Contradicts(contradiction.clone()));
             }
-            let found =
-                found.unwrap_or_else(|| if as_of { "as agreed".into() } else { "not checked".into() });
-            self.samples.push_back(Decision { at: now, edge, sample, found });
-            if self.samples.len() > SAMPLES {
+            let result =
+                found
+                    .unwrap_or_else(|| if same_revision { "as agreed".into() } else { "not checked".into() });
+            self.samples.push_back(CheckedDecision { at: now, edge, sample, result });
+            if self.samples.len() > MAX_SAMPLES {
                 self.samples.pop_front();
             }
         }
-        out
+        findings
     }
 
-    /// What is wrong with a decision, by the configuration in force.
-    fn decide(&mut self, view: &View, sample: &Sample) -> Option<String> {
-        self.follow(view);
-        self.decided.0 += 1;
-        let wrong = match (self.table.1.find(&sample.host, &sample.path), view.nodes.get(&sample.marshal)) {
-            (None, _) => Some("no route".to_owned()),
-            (Some(route), _) if route.name != sample.route => {
-                Some(format!("route {} for {}", sample.route, route.name))
-            }
-            (Some(route), _) if !route.shares.iter().any(|(service, _)| **service == *sample.service) => {
-                Some(format!("service {} on route {}", sample.service, route.name))
-            }
-            (Some(_), Some(node)) if node.target != sample.service => {
-                Some(format!("{} for service {}", sample.marshal, sample.service))
-            }
-            // Others may have left, or been emptied, since it was sent.
-            _ => None,
-        };
-        self.decided.1 += u64::from(wrong.is_some());
-        wrong
+    /// Returns what is wrong with a decision under the configuration in force.
+    fn check_decision(&mut self, view: &View, sample: &Sample) -> Option<String> {
+        self.refresh_table(view);
+        self.decision_counts.0 += 1;
+        let contradiction =
+            match (self.table.1.find(&sample.host, &sample.path), view.nodes.get(&sample.marshal)) {
+                (None, _) => Some("no route".to_owned()),
+                (Some(route), _) if route.name != sample.route => {
+                    Some(format!("route {} for {}", sample.route, route.name))
+                }
+                (Some(route), _) if !route.shares.iter().any(|(service, _)| **service == *sample.service) => {
+                    Some(format!("service {} on route {}", sample.service, route.name))
+                }
+                (Some(_), Some(node)) if node.target != sample.service => {
+                    Some(format!("{} for service {}", sample.marshal, sample.service))
+                }
+                // Not an error: the marshal may have left, or its zone may have been evacuated, since the
+                // request was sent.
+                _ => None,
+            };
+        self.decision_counts.1 += u64::from(contradiction.is_some());
+        contradiction
     }
 
-    /// What differs between what an edge routes by and what was agreed, by name.
-    pub fn compare(&mut self, view: &View, edge: u32, names: &Names) -> Vec<String> {
-        self.follow(view);
-        let mut wanted = Names::default();
-        self.table.1.reflect(&mut wanted);
-        intent::core(view, &mut wanted);
-        intent::deals(view, edge, &mut wanted);
-        wanted.against(names, NAMED)
+    /// Lists by name what differs between an edge's routing state and the agreed state.
+    pub fn list_differences(&mut self, view: &View, edge: u32, names: &Names) -> Vec<String> {
+        self.refresh_table(view);
+        let mut expected = Names::default();
+        self.table.1.reflect(&mut expected);
+        intent::core(view, &mut expected);
+        intent::deals(view, edge, &mut expected);
+        expected.against(names, MAX_LISTED_DIFFERENCES)
     }
 
-    /// What the leader does next; edges that drift or are well again are told to operators.
-    pub fn step(&mut self, now: Time, ready: &[(u32, String)]) -> Vec<Order> {
+    /// Returns the leader's next repairs. Logs edges that drift and edges that have recovered.
+    pub fn next_repairs(&mut self, now: Millis, ready: &[(u32, String)]) -> Vec<Order> {
         let orders = self.repairer.step(now, ready);
         let mut drifted = BTreeSet::new();
         for (edge, standing) in self.repairer.edges() {
@@ -168,48 +179,51 @@
                 continue;
             }
             drifted.insert(edge);
-            let word = standing.finding.word();
-            if standing.finding.drift() && self.named.get(&edge) != Some(&word) {
-                event!(Drifted, "{} in {}: {word}", Ipv4Addr::from_bits(edge), standing.zone);
-                self.named.insert(edge, word);
+            let description = standing.finding.word();
+            if standing.finding.drift() && self.logged_findings.get(&edge) != Some(&description) {
+                event!(Drifted, "{} in {}: {description}", Ipv4Addr::from_bits(edge), standing.zone);
+                self.logged_findings.insert(edge, description);
             }
         }
-        self.named.retain(|edge, _| {
-            let still = drifted.contains(edge);
-            if !still {
+        self.logged_findings.retain(|edge, _| {
+            let is_drifted = drifted.contains(edge);
+            if !is_drifted {
                 event!(Recovered, "{}", Ipv4Addr::from_bits(*edge));
             }
-            still
+            is_drifted
         });
-        if self.repairer.alarm && !self.doubt {
+        if self.repairer.alarm && !self.alarm_logged {
             event!(AllDrift, "{} edges", drifted.len());
         }
-        self.doubt = self.repairer.alarm;
+        self.alarm_logged = self.repairer.alarm;
         orders
     }
 
-    /// Another machine of the core has this digest as of an entry. Whether it is news that it differs from this one's.
-    pub fn view_digest(&mut self, now: Time, from: Id, index: u64, digest: &Digest) -> bool {
+    /// Records another replica's digest as of an entry. Returns whether that replica has only now begun to
+    /// differ from this one.
+    pub fn record_digest(&mut self, now: Millis, from: Id, index: u64, digest: &Digest) -> bool {
         let Some(own) = self.checker.kept(index) else { return false };
         let same = own.differs(digest).is_empty();
-        let before = self.others.insert(from, (now, same));
+        let before = self.digest_matches.insert(from, (now, same));
         !same && before.is_none_or(|(_, same)| same)
     }
 
-    /// Whether this machine is the one that is wrong: of the others that speak of the same entries more differ than agree.
-    pub fn odd(&self, now: Time) -> bool {
-        let fresh = || self.others.values().filter(|(at, _)| now.saturating_sub(*at) < FRESH);
-        let differ = fresh().filter(|(_, same)| !same).count();
-        differ >= 2 && differ > fresh().count() - differ
+    /// Whether this replica is the faulty one: of the other replicas with a recent digest, more differ from
+    /// it than agree with it.
+    pub fn is_outlier(&self, now: Millis) -> bool {
+        let fresh =
+            || self.digest_matches.values().filter(|(at, _)| now.saturating_sub(*at) < DIGEST_FRESHNESS_MS);
+        let differing = fresh().filter(|(_, same)| !same).count();
+        differing >= 2 && differing > fresh().count() - differing
     }
 
-    /// For operators: all edges that were heard, with what was found of each.
-    pub fn tell(&self, now: Time, view: &View, heard: &[(u32, String, Time)]) -> serde_json::Value {
+    /// Describes for operators all edges that were heard from, with the finding on each.
+    pub fn describe(&self, now: Millis, view: &View, heard: &[(u32, String, Millis)]) -> serde_json::Value {
         let known: BTreeMap<u32, _> = self.repairer.edges().collect();
         let edges = heard.iter().map(|(edge, zone, silent)| {
             let standing = known.get(edge);
             let found = standing.filter(|it| now.saturating_sub(it.at) < 4_000 && *silent < 4_000);
-            // Out of touch is unknown, not well.
+            // An edge that is out of touch is unknown, not healthy.
             let state = found.map_or("unknown".to_owned(), |it| it.finding.word());
             json!({"edge": Ipv4Addr::from_bits(*edge).to_string(), "zone": zone, "state": state, "silentMs": silent,
                 "driftedMs": standing.and_then(|it| it.since).map(|since| now.saturating_sub(since)),
@@ -221,17 +235,17 @@
         });
         json!({"edges": edges.collect::<Vec<_>>(), "repairs": repairs.collect::<Vec<_>>(), "allInDoubt": self.repairer.alarm,
             "digestsChecked": self.checker.checked, "digestsThatDiffered": self.checker.differed,
-            "decisionsChecked": self.decided.0, "decisionsThatDiffered": self.decided.1})
+            "decisionsChecked": self.decision_counts.0, "decisionsThatDiffered": self.decision_counts.1})
     }
 
-    /// The decisions on a request that this machine was told.
-    pub fn explain(&self, now: Time, attempt: &str) -> Vec<serde_json::Value> {
+    /// Returns the sampled decisions on a request that were reported to this replica.
+    pub fn decisions_on(&self, now: Millis, attempt: &str) -> Vec<serde_json::Value> {
         let found = self.samples.iter().filter(|it| it.sample.attempt == attempt);
-        let told = found.map(|it| {
+        let decisions = found.map(|it| {
             json!({"edge": Ipv4Addr::from_bits(it.edge).to_string(), "agoMs": now.saturating_sub(it.at),
                 "host": it.sample.host, "path": it.sample.path, "route": it.sample.route,
-                "service": it.sample.service, "marshal": it.sample.marshal, "found": it.found})
+                "service": it.sample.service, "marshal": it.sample.marshal, "found": it.result})
         });
-        told.collect()
+        decisions.collect()
     }
 }
--- a/crates/control-plane/src/feeds.rs
+++ b/crates/control-plane/src/feeds.rs
@@ -1,46 +1,47 @@
-//! Connections of edges: entries as they are folded here, a pulse in between, and the edges' own beats.
+//! Connections of edges: log entries as they are applied here, periodic status broadcasts, and the edges'
+//! own reports.
 
-use crate::core::Shared;
+use crate::core::SharedCore;
 use milletwing_replicated_state::EdgeStatus;
 use milletwing_wire::{self as wire, FromEdge};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// Milliseconds after which a pulse is not sent any more.
-const LATE: u64 = 100;
+/// Age in milliseconds beyond which a status broadcast is no longer sent.
+const MAX_STATUS_AGE_MS: u64 = 100;
 
-/// Serves an edge until either side ends.
+/// Serves an edge until either side closes the connection.
 pub async fn serve(
-    core: Shared,
+    core: SharedCore,
     edge: EdgeStatus,
     index: u64,
     mut read: impl AsyncRead + Unpin + 'static,
     mut write: impl AsyncWrite + Unpin,
 ) {
-    let (id, mut queue) = core.borrow_mut().attach(edge, index);
-    let hearing = Rc::clone(&core);
-    let hears = tokio::task::spawn_local(async move {
-        while let Ok(Ok(up)) =
+    let (id, mut queue) = core.borrow_mut().attach_edge(edge, index);
+    let reader_core = Rc::clone(&core);
+    let reader = tokio::task::spawn_local(async move {
+        while let Ok(Ok(message)) =
             tokio::time::timeout(Duration::from_secs(3), wire::read::<FromEdge>(&mut read)).await
         {
-            let core = &mut *hearing.borrow_mut();
-            match up {
-                FromEdge::Beat(said) => core.beaten(id, *said),
-                FromEdge::Names(names) => core.named(id, &names),
+            let core = &mut *reader_core.borrow_mut();
+            match message {
+                FromEdge::Beat(report) => core.on_edge_report(id, *report),
+                FromEdge::Names(names) => core.on_edge_names(id, &names),
             }
         }
-        hearing.borrow_mut().detach(id);
+        reader_core.borrow_mut().detach_edge(id);
     });
-    while let Some((made, bytes)) = queue.recv().await {
-        // A pulse that has waited is no word on how things are; the next one is due.
-        if made.is_some_and(|made| core.borrow().now() > made + LATE) {
+    while let Some((made_at, bytes)) = queue.recv().await {
+        // A delayed status broadcast is no longer true; the next one is due soon.
+        if made_at.is_some_and(|made_at| core.borrow().now() > made_at + MAX_STATUS_AGE_MS) {
             continue;
         }
-        if !core.borrow().attached(id) || wire::write(&mut write, &bytes).await.is_err() {
+        if !core.borrow().is_attached(id) || wire::write(&mut write, &bytes).await.is_err() {
             break;
         }
     }
-    hears.abort();
-    core.borrow_mut().detach(id);
+    reader.abort();
+    core.borrow_mut().detach_edge(id);
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,18 +1,21 @@
-//! The program of the core. `core` owns the agreement, the state folded from its log and what was heard of marshals and
-//! edges; `drift` whether edges route by it, `disk` is the thread that writes, `links` the connections to other core machines, `feeds` those of edges, and
-//! `front` the calls of marshals, operators and clients, `metrics` what is counted. All but the disk share one thread.
+//! The control-plane server, one replica of the replicated control plane (the "core"). `core` holds the
+//! consensus member, the state machine built from its log, and the status reports of marshals and edge
+//! proxies. `drift` checks that edges route by the agreed state, `disk` is the thread that writes the log,
+//! `links` holds the connections to other replicas, `feeds` those of edges, `http_api` serves marshals,
+//! operators and clients over HTTP, and `metrics` holds the counters. Everything except the disk thread
+//! runs on one thread.
 
-pub mod calls;
 pub mod core;
 mod disk;
 mod drift;
 mod feeds;
-mod front;
+pub mod forwarded_calls;
+mod http_api;
 mod links;
 mod metrics;
 mod metrics_page;
 
-pub use front::ROUTES;
+pub use http_api::ROUTES;
 
 use crate::core::Core;
 use milletwing_config::{event, Settings};
@@ -25,62 +28,65 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Tells the program to leave in order.
-pub type Leave = Pin<Box<dyn Future<Output = ()>>>;
+/// Completes when the process is to shut down gracefully.
+pub type ShutdownSignal = Pin<Box<dyn Future<Output = ()>>>;
 
-/// Runs until `leave` says so. `settings` is read anew from `path` whenever that changes. `endpoint`: where metrics are served, if
-/// anywhere. Errors are for operators: a binding that is missing or taken, a disk that can't be used.
+/// Runs until `shutdown` completes. `settings` is read again from `path` whenever that file changes.
+/// Metrics are served at `endpoint`, if there is one. Errors are meant for operators: a missing or occupied
+/// binding, or an unusable disk.
 pub async fn run(
     settings: Settings,
     path: &Path,
     endpoint: Option<Endpoint>,
-    leave: Leave,
+    shutdown: ShutdownSignal,
 ) -> Result<(), String> {
     let grace = Duration::from_secs_f64(settings.timers.guarantees.graceS.max(1.0));
-    let bind = |what: &'static str, to| async move {
-        TcpListener::bind(to).await.map_err(|problem| format!("{what} {to}: {problem}"))
+    let listen = |name: &'static str, address| async move {
+        TcpListener::bind(address).await.map_err(|problem| format!("{name} {address}: {problem}"))
     };
-    let mut leave = leave;
-    // Before anything is listened on: callers are refused at once while a disk that can't be opened is asked again.
-    let (writes, written) = tokio::select! {
+    let mut shutdown = shutdown;
+    // Opened before any listener: while a disk that cannot be opened is being retried, callers are refused
+    // at once.
+    let (storage, disk_reports) = tokio::select! {
         opened = disk::open(&settings) => opened?,
-        _ = leave.as_mut() => return Ok(()),
+        _ = shutdown.as_mut() => return Ok(()),
     };
-    let inner = milletwing_wire::place(settings.id(), settings.network.internal_ports.0);
-    let inner = bind("internal", inner).await?;
-    let control = bind("controlPlane", settings.binding("controlPlane")?).await?;
+    let internal = milletwing_wire::place(settings.id(), settings.network.internal_ports.0);
+    let internal = listen("internal", internal).await?;
+    let control_plane = listen("controlPlane", settings.binding("controlPlane")?).await?;
     let directory = match settings.network.bindings.get("directoryPort") {
-        Some(to) => Some(bind("directoryPort", *to).await?),
+        Some(address) => Some(listen("directoryPort", *address).await?),
         None => None,
     };
-    let core = Core::start(settings.clone(), writes, rand::random())?;
+    let core = Core::start(settings.clone(), storage, rand::random())?;
     event!(Started, "control-plane {} control {}", settings.own.node_name, settings.binding("controlPlane")?);
-    let open = Rc::new(front::Open::default());
+    let connections = Rc::new(http_api::OpenConnections::default());
     let tasks = [
-        tokio::task::spawn_local(disk::listen(Rc::clone(&core), written)),
-        tokio::task::spawn_local(links::accept(Rc::clone(&core), inner)),
+        tokio::task::spawn_local(disk::forward_reports(Rc::clone(&core), disk_reports)),
+        tokio::task::spawn_local(links::accept(Rc::clone(&core), internal)),
         tokio::task::spawn_local(links::dial(Rc::clone(&core))),
-        tokio::task::spawn_local(core::ticks(Rc::clone(&core))),
-        tokio::task::spawn_local(core::watch(Rc::clone(&core), path.to_path_buf())),
-        tokio::task::spawn_local(front::serve(Rc::clone(&core), control, Rc::clone(&open))),
+        tokio::task::spawn_local(core::run_clock(Rc::clone(&core))),
+        tokio::task::spawn_local(core::watch_settings(Rc::clone(&core), path.to_path_buf())),
+        tokio::task::spawn_local(http_api::serve(Rc::clone(&core), control_plane, Rc::clone(&connections))),
     ];
     if let Some(directory) = directory {
-        tokio::task::spawn_local(front::serve(Rc::clone(&core), directory, Rc::clone(&open)));
+        tokio::task::spawn_local(http_api::serve(Rc::clone(&core), directory, Rc::clone(&connections)));
     }
     if let Some(endpoint) = endpoint {
-        let (core, open) = (Rc::clone(&core), Rc::clone(&open));
-        let text = move || metrics_page::page(&core.borrow(), &open);
-        tokio::task::spawn_local(serve_metrics(settings.id(), endpoint, text));
+        let (core, connections) = (Rc::clone(&core), Rc::clone(&connections));
+        let render_metrics = move || metrics_page::page(&core.borrow(), &connections);
+        tokio::task::spawn_local(serve_metrics(settings.id(), endpoint, render_metrics));
     }
-    leave.await;
-    event!(Term, "handing over");
-    // Calls under way have their answers; new ones go elsewhere after a failure.
-    open.close();
-    let end = tokio::time::Instant::now() + grace.mul_f64(0.5);
-    Core::leave(&core, grace.mul_f64(0.4)).await;
-    // What went out last is on its way.
+    shutdown.await;
+    event!(Term, "handing over to the other replicas");
+    // Calls in progress are still answered; a new call fails and is retried by its caller at another
+    // replica.
+    connections.close();
+    let deadline = tokio::time::Instant::now() + grace.mul_f64(0.5);
+    Core::prepare_shutdown(&core, grace.mul_f64(0.4)).await;
+    // Gives the last messages time to be sent.
     tokio::time::sleep(Duration::from_millis(300)).await;
-    while open.count() > 0 && tokio::time::Instant::now() < end {
+    while connections.count() > 0 && tokio::time::Instant::now() < deadline {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     tasks.iter().for_each(|task| task.abort());
--- a/crates/control-plane/src/links.rs
+++ b/crates/control-plane/src/links.rs
@@ -1,6 +1,7 @@
-//! Connections to other machines of the core. Each dials every other and sends; what is accepted is only read.
+//! Connections to other control-plane replicas. Each replica dials every other one to send; accepted
+//! connections are only read.
 
-use crate::core::{Core, Shared};
+use crate::core::{Core, SharedCore};
 use milletwing_consensus::Id;
 use milletwing_wire::{self as wire, frame, Greeting, Peer};
 use std::collections::HashSet;
@@ -9,45 +10,48 @@
 use tokio::io::{BufReader, BufWriter};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Part of the descriptors that connections on the internal port may take: an edge has one, a core machine two.
-const SHARE: f64 = 0.3;
-/// Connections there at once where the settings grant few descriptors.
-const LEAST: usize = 1024;
+/// Share of the file descriptors that connections on the internal port may take: an edge has one, a
+/// control-plane replica two.
+const CONNECTION_SHARE: f64 = 0.3;
+/// Number of connections on the internal port that is always allowed, even if the settings grant few file
+/// descriptors.
+const MIN_CONNECTION_LIMIT: usize = 1024;
 
-/// After so long without a sign that bytes arrive, a connection is ended.
-pub const PATIENCE: Duration = Duration::from_millis(800);
+/// A connection is closed after this long without a sign that data arrives.
+pub const DEAD_CONNECTION_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// A connection that doesn't come up in this time is begun anew: what was sent to a machine before it had power is lost,
-/// and one that is up answers within a round trip.
-const DIAL: Duration = Duration::from_millis(250);
+/// A connection attempt that takes longer is started anew: packets sent to a machine before it was powered
+/// on are lost, and a running machine answers within a round trip.
+const DIAL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Dials whoever is known and not dialled yet.
-pub async fn dial(core: Shared) {
-    let mut begun = HashSet::new();
+/// Starts a sender task for each known replica that does not have one yet.
+pub async fn dial(core: SharedCore) {
+    let mut started = HashSet::new();
     loop {
-        let known = core.borrow().known.clone();
+        let known = core.borrow().known_replicas.clone();
         for id in known {
-            if begun.insert(id) {
-                tokio::task::spawn_local(send(Rc::clone(&core), id));
+            if started.insert(id) {
+                tokio::task::spawn_local(run_sender(Rc::clone(&core), id));
             }
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-async fn send(core: Shared, to: Id) {
-    let (own, port) = (core.borrow().settings.id(), core.borrow().settings.network.internal_ports.0);
-    let (mut queue, up) = core.borrow_mut().link(to);
+/// Connects to a replica, again after each failure, and sends what its link's queue holds.
+async fn run_sender(core: SharedCore, to: Id) {
+    let (own_id, port) = (core.borrow().settings.id(), core.borrow().settings.network.internal_ports.0);
+    let (mut queue, dialled_by_peer) = core.borrow_mut().open_link(to);
     loop {
         let dialled = tokio::select! {
-            dialled = wire::dial(wire::place(to, port), DIAL) => dialled,
-            // It has dialled us: what we sent before it had power is lost.
-            _ = up.notified() => continue,
+            dialled = wire::dial(wire::place(to, port), DIAL_TIMEOUT) => dialled,
+            // The replica has dialled this one: what was sent to it before it was powered on is lost.
+            _ = dialled_by_peer.notified() => continue,
         };
         if let Ok(stream) = dialled {
-            let _ = wire::groom(&stream, PATIENCE);
+            let _ = wire::groom(&stream, DEAD_CONNECTION_TIMEOUT);
             let mut stream = BufWriter::new(stream);
-            if wire::write(&mut stream, &frame(&Greeting::Core(own))).await.is_ok() {
+            if wire::write(&mut stream, &frame(&Greeting::Core(own_id))).await.is_ok() {
                 while let Some(bytes) = queue.recv().await {
                     if wire::write(&mut stream, &bytes).await.is_err() {
                         break;
@@ -59,18 +63,18 @@
     }
 }
 
-/// Accepts machines of the core, and edges.
-pub async fn accept(core: Shared, listener: TcpListener) {
-    let open = Rc::new(());
-    let granted = core.borrow().settings.own.thresholds.max_files as f64;
-    let most = LEAST.max((granted * SHARE) as usize);
+/// Accepts connections from replicas and edges.
+pub async fn accept(core: SharedCore, listener: TcpListener) {
+    let open_connections = Rc::new(());
+    let max_files = core.borrow().settings.own.thresholds.max_files as f64;
+    let max_connections = MIN_CONNECTION_LIMIT.max((max_files * CONNECTION_SHARE) as usize);
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if Rc::strong_count(&open) <= most => {
-                let (core, open) = (Rc::clone(&core), Rc::clone(&open));
+            Ok((stream, _)) if Rc::strong_count(&open_connections) <= max_connections => {
+                let (core, open_connections) = (Rc::clone(&core), Rc::clone(&open_connections));
                 tokio::task::spawn_local(async move {
-                    let _ = welcome(core, stream).await; // whoever it is dials again
-                    drop(open);
+                    let _ = serve_connection(core, stream).await; // on an error the other side dials again
+                    drop(open_connections);
                 });
             }
             Ok(_) => {}
@@ -79,20 +83,21 @@
     }
 }
 
-async fn welcome(core: Shared, stream: TcpStream) -> Result<(), std::io::Error> {
-    wire::groom(&stream, PATIENCE)?;
+/// Serves an accepted connection of a replica or an edge until it ends.
+async fn serve_connection(core: SharedCore, stream: TcpStream) -> Result<(), std::io::Error> {
+    wire::groom(&stream, DEAD_CONNECTION_TIMEOUT)?;
     let (read, write) = stream.into_split();
     let mut read = BufReader::with_capacity(4096, read);
     let greeting = tokio::time::timeout(Duration::from_secs(2), wire::read(&mut read));
     match greeting.await.map_err(|_| std::io::ErrorKind::TimedOut)?? {
         Greeting::Core(id) => {
-            let connection = core.borrow_mut().dialled_by(id);
-            // Silence of a machine that can't say so ends the connection: its calls come ten times a second or its
-            // knowledge twice.
-            while let Ok(peer) =
+            let connection = core.borrow_mut().on_inbound_connection(id);
+            // A replica that stops without closing the connection is detected by its silence: it normally
+            // sends consensus heartbeats ten times a second or status gossip twice a second.
+            while let Ok(message) =
                 tokio::time::timeout(Duration::from_secs(5), wire::read::<Peer>(&mut read)).await
             {
-                if !Core::heard(&core, id, connection, peer?) {
+                if !Core::on_peer_message(&core, id, connection, message?) {
                     break;
                 }
             }
--- a/crates/control-plane/src/metrics_page.rs
+++ b/crates/control-plane/src/metrics_page.rs
@@ -1,14 +1,14 @@
-//! The page of a control plane server's metrics (`docs/metrics.md`).
+//! The metrics page of a control-plane server (`docs/metrics.md`).
 
 use crate::core::Core;
-use crate::front::Open;
+use crate::http_api::OpenConnections;
 use milletwing_consensus::Role;
 use milletwing_metrics::{Labels, Page};
 use milletwing_replicated_state::Phase;
 use std::collections::BTreeMap;
 
-/// The page of this moment.
-pub fn page(core: &Core, open: &Open) -> String {
+/// Renders the current metrics.
+pub fn page(core: &Core, connections: &OpenConnections) -> String {
     let mut page = Page::new("milletwing_control");
     let now = core.now();
     let calls = core.metrics.calls.borrow();
@@ -21,7 +21,7 @@
         calls.iter().map(|((resource, status), count)| (label(resource, status), *count)),
     );
     page.seconds("disk_wait", "From handing out a batch to its being on the disk", &core.metrics.disk_waits);
-    page.gauge("connections", "Open connections of callers", open.count() as f64);
+    page.gauge("connections", "Open connections of callers", connections.count() as f64);
     consensus(&mut page, core, now);
     let view = &core.view;
     page.gauge("folded_index", "Last entry of the log that is folded", view.index as f64);
--- a/crates/control-plane/tests/bounds.rs
+++ b/crates/control-plane/tests/bounds.rs
@@ -1,15 +1,16 @@
-//! What is refused before it is agreed, so that no machine is left with a state that it can't read.
+//! State that would grow too large is refused before it is proposed, so that no replica ends up with a
+//! state that it cannot read.
 
-#[path = "control/machines.rs"]
+#[path = "control/simulation.rs"]
 #[allow(dead_code)]
-mod machines;
+mod simulation;
 
-use machines::{ms, Net, World, MACHINES};
 use milletwing_consensus::Role;
-use milletwing_control_plane::core::{Core, Shared};
+use milletwing_control_plane::core::{Core, SharedCore};
 use milletwing_replicated_state::view::MOST_ADMITTED;
 use milletwing_replicated_state::{Beat, View};
 use milletwing_wire::Answer;
+use simulation::{ms, SharedSimulation, Simulation, REPLICAS};
 use std::future::Future;
 use tokio::time::sleep;
 
@@ -18,23 +19,23 @@
     tokio::task::LocalSet::new().block_on(&runtime.unwrap(), test);
 }
 
-async fn leader(net: &Net) -> Shared {
+async fn leader(simulation: &SharedSimulation) -> SharedCore {
     for _ in 0..1_000 {
-        let led = net
+        let leading = simulation
             .cores()
             .into_iter()
             .find(|(_, core)| core.borrow().member.role() == Role::Leader && core.borrow().member.current());
-        if let Some((_, core)) = led {
+        if let Some((_, core)) = leading {
             return core;
         }
         sleep(ms(10)).await;
     }
-    panic!("nobody leads");
+    panic!("no replica became leader");
 }
 
-/// A marshal whose description has so many bytes.
-fn beat(at: usize, size: usize) -> Beat {
-    let address = format!("10.{}.{}.{}:80", 1 + at / 65_536, at / 256 % 256, at % 256);
+/// A marshal whose description has this many bytes.
+fn beat(number: usize, size: usize) -> Beat {
+    let address = format!("10.{}.{}.{}:80", 1 + number / 65_536, number / 256 % 256, number % 256);
     let body = format!(
         r#"{{"target":"s","address":"{address}","zone":"a","revision":"{}","capacity":4,"state":"available","callCounter":1}}"#,
         "v".repeat(size)
@@ -43,30 +44,30 @@
 }
 
 #[test]
-fn a_state_that_no_machine_could_read_is_refused_before_it_is_agreed() {
-    // Two of them are beyond the bound, as is one with a configuration of some megabytes.
+fn a_state_that_no_replica_could_read_is_refused_before_it_is_proposed() {
+    // Two such marshals are beyond the limit, as is one with a configuration of some megabytes.
     const SIZE: usize = MOST_ADMITTED * 2 / 5;
     run(async {
-        let net = World::new(7);
-        (1..=MACHINES).for_each(|at| net.start(at));
-        let core = leader(&net).await;
-        let first = Core::beat(&core, "i-1".into(), beat(1, SIZE), ms(3_000)).await;
+        let simulation = Simulation::new(7);
+        (1..=REPLICAS).for_each(|number| simulation.start(number));
+        let core = leader(&simulation).await;
+        let first = Core::heartbeat(&core, "i-1".into(), beat(1, SIZE), ms(3_000)).await;
         assert!(matches!(first, Answer::Done(_)), "{first:?}");
-        let second = Core::beat(&core, "i-2".into(), beat(2, SIZE), ms(3_000)).await;
+        let second = Core::heartbeat(&core, "i-2".into(), beat(2, SIZE), ms(3_000)).await;
         let Answer::Refused(status, why) = second else { panic!("{second:?}") };
         assert_eq!(status, 413);
         assert!(why.contains("the state would have"), "{why}");
-        // So is a configuration, by the words that its operator is told.
+        // So is a large configuration, with an error that goes to its operator.
         let text =
             format!(r#"{{"revision":1,"routing":{{}},"targets":{{}},"note":"{}"}}"#, "x".repeat(3 << 20));
-        let told = Core::configure(&core, Some(0), text.as_bytes(), ms(3_000)).await.unwrap_err();
-        assert_eq!(told.answer().status, 413);
-        // A small one still has room, and every machine reads what stands.
+        let refusal = Core::configure(&core, Some(0), text.as_bytes(), ms(3_000)).await.unwrap_err();
+        assert_eq!(refusal.answer().status, 413);
+        // A small configuration still fits, and every replica can read the resulting state.
         let small = br#"{"revision":1,"routing":{},"targets":{}}"#;
-        let taken = Core::configure(&core, Some(0), small, ms(3_000)).await.unwrap();
-        assert!(matches!(taken, Answer::Done(_)), "{taken:?}");
+        let accepted = Core::configure(&core, Some(0), small, ms(3_000)).await.unwrap();
+        assert!(matches!(accepted, Answer::Done(_)), "{accepted:?}");
         let view = core.borrow().view.clone();
         assert!(View::unpacked(&view.packed()).is_ok());
-        assert!(view.weight() >= view.bytes().len(), "the weight is no bound of the bytes");
+        assert!(view.weight() >= view.bytes().len(), "the weight is not an upper bound of the bytes");
     });
 }
--- a/crates/control-plane/tests/control/callers.rs
+++ b/crates/control-plane/tests/control/callers.rs
@@ -1,8 +1,8 @@
-//! Operators, marshals and edges of the simulated world. They call as the protocol has it: any machine, again after an answer that
-//! is not clear, at times twice at once; answers are lost on their way.
+//! Operators, marshals and edges of the simulation. They call as the protocol allows: any replica, again
+//! after an answer that is not definite, and sometimes twice at once. Answers are lost at random.
 
 use crate::history::{Change, History, Outcome, Read, Version};
-use crate::machines::{id, ms, Net, MACHINES};
+use crate::simulation::{id, ms, SharedSimulation, REPLICAS};
 use milletwing_config::Kind;
 use milletwing_control_plane::core::Core;
 use milletwing_replicated_state::view::digest;
@@ -15,32 +15,34 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long a caller waits before it goes elsewhere.
-const SILENT: Duration = Duration::from_millis(1_000);
-const WITHIN: Duration = Duration::from_millis(900);
-/// Calls of one order at most.
-const TRIES: usize = 8;
-/// The zone that is emptied, and the service that is rolled out.
+/// How long a caller waits before it tries another replica.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
+/// Maximum number of calls for one request.
+const MAX_TRIES: usize = 8;
+/// The zone that is evacuated, and the service that is rolled out.
 pub const ZONE: &str = "b";
 pub const SERVICE: &str = "s";
 
 pub struct Callers {
-    pub net: Net,
+    pub simulation: SharedSimulation,
     pub history: RefCell<History>,
-    /// Part of the answers that are lost.
+    /// Share of the answers that are lost.
     pub loss: Cell<f64>,
-    /// No further orders are begun.
-    pub done: Cell<bool>,
-    /// Orders to empty the zone, and to take it back, as they were acknowledged.
-    pub emptied: Cell<Option<bool>>,
-    pub rolled: Cell<u64>,
-    /// Marshals of which it was acknowledged that they leave.
-    pub left: RefCell<Vec<String>>,
-    /// The state as of an entry, wherever it was folded.
-    pub states: RefCell<BTreeMap<u64, [u8; 32]>>,
+    /// No further requests are started.
+    pub stopping: Cell<bool>,
+    /// The evacuation of the zone as last acknowledged: true for evacuated, false for ended, none while a
+    /// request to end it is in progress.
+    pub evacuated: Cell<Option<bool>>,
+    /// Number of acknowledged rollouts.
+    pub rollouts_acknowledged: Cell<u64>,
+    /// Marshals whose departure was acknowledged.
+    pub departed: RefCell<Vec<String>>,
+    /// Digest of the state as of each entry, from whichever replica or edge applied it first.
+    pub digests: RefCell<BTreeMap<u64, [u8; 32]>>,
 }
 
-/// The bytes of a version.
+/// The configuration of a version.
 pub fn body(version: Version) -> Vec<u8> {
     let (revision, idle) = version;
     format!(
@@ -67,53 +69,55 @@
 }
 
 impl Callers {
-    /// Makes a call at any machine, again while it is not clear what became of it.
-    async fn insist<F: Future<Output = Outcome> + 'static>(
+    /// Calls any replica, again until the outcome is definite.
+    async fn call_until_definite<F: Future<Output = Outcome> + 'static>(
         self: &Rc<Self>,
         call: impl Fn(Rc<Self>, u32) -> F,
     ) -> Outcome {
-        for _ in 0..TRIES {
-            let at = 1 + self.net.draw(0..u64::from(MACHINES)) as u32;
-            if self.net.odds(0.2) {
-                // The same call twice at once, the second to any machine.
-                let other = 1 + self.net.draw(0..u64::from(MACHINES)) as u32;
+        for _ in 0..MAX_TRIES {
+            let replica = 1 + self.simulation.random_in(0..u64::from(REPLICAS)) as u32;
+            if self.simulation.random_bool(0.2) {
+                // Makes the same call twice at once, the second to any replica.
+                let other = 1 + self.simulation.random_in(0..u64::from(REPLICAS)) as u32;
                 tokio::task::spawn_local(call(Rc::clone(self), other));
             }
-            let answer = timeout(SILENT, call(Rc::clone(self), at)).await.unwrap_or(Outcome::Unknown);
-            if answer != Outcome::Unknown && !self.net.odds(self.loss.get()) {
+            let answer =
+                timeout(CALL_TIMEOUT, call(Rc::clone(self), replica)).await.unwrap_or(Outcome::Unknown);
+            if answer != Outcome::Unknown && !self.simulation.random_bool(self.loss.get()) {
                 return answer;
             }
-            sleep(ms(self.net.draw(20..400))).await;
+            sleep(ms(self.simulation.random_in(20..400))).await;
         }
         Outcome::Unknown
     }
 
-    async fn configure(self: Rc<Self>, at: u32, version: Version, expected: u64) -> Outcome {
-        let Some(core) = self.net.core(at) else { return Outcome::Unknown };
-        outcome(Core::configure(&core, Some(expected), &body(version), WITHIN).await)
+    async fn configure(self: Rc<Self>, replica: u32, version: Version, expected: u64) -> Outcome {
+        let Some(core) = self.simulation.core(replica) else { return Outcome::Unknown };
+        outcome(Core::configure(&core, Some(expected), &body(version), ANSWER_TIMEOUT).await)
     }
 
-    async fn ask(self: Rc<Self>, at: u32, ask: CoreRequest) -> Outcome {
-        let Some(core) = self.net.core(at) else { return Outcome::Unknown };
-        outcome(Ok(Core::order(&core, ask, WITHIN).await))
+    async fn submit(self: Rc<Self>, replica: u32, request: CoreRequest) -> Outcome {
+        let Some(core) = self.simulation.core(replica) else { return Outcome::Unknown };
+        outcome(Ok(Core::submit(&core, request, ANSWER_TIMEOUT).await))
     }
 
-    /// An operator that changes the configuration, and reads it, on top of what it saw last.
+    /// An operator that reads the configuration and changes it, on top of what it saw last.
     pub async fn operator(self: Rc<Self>, number: u64) {
-        let (mut seen, mut made) = (0, 0);
-        while !self.done.get() {
-            sleep(ms(self.net.draw(50..1_500))).await;
+        let (mut seen, mut changes_made) = (0, 0);
+        while !self.stopping.get() {
+            sleep(ms(self.simulation.random_in(50..1_500))).await;
             let begun = Instant::now();
-            if self.net.odds(0.3) {
+            if self.simulation.random_bool(0.3) {
                 if let Some(version) = self.read(begun).await {
                     seen = version;
                 }
                 continue;
             }
-            made += 1;
-            let (version, expected) = ((seen + self.net.draw(1..4), number * 10_000 + made), seen);
-            let call = move |callers: Rc<Self>, at| callers.configure(at, version, expected);
-            let outcome = self.insist(call).await;
+            changes_made += 1;
+            let (version, expected) =
+                ((seen + self.simulation.random_in(1..4), number * 10_000 + changes_made), seen);
+            let call = move |callers: Rc<Self>, replica| callers.configure(replica, version, expected);
+            let outcome = self.call_until_definite(call).await;
             let ended = Instant::now();
             self.history.borrow_mut().changes.push(Change { version, expected, begun, ended, outcome });
             match outcome {
@@ -124,95 +128,101 @@
     }
 
     async fn read(&self, begun: Instant) -> Option<u64> {
-        let core = self.net.core(1 + self.net.draw(0..u64::from(MACHINES)) as u32)?;
-        let (emptied, rolled, left) = (self.emptied.get(), self.rolled.get(), self.left.borrow().clone());
-        timeout(SILENT, Core::read(&core, WITHIN)).await.ok()?.ok()?;
+        let core = self.simulation.core(1 + self.simulation.random_in(0..u64::from(REPLICAS)) as u32)?;
+        let (evacuated, rollouts, departed) =
+            (self.evacuated.get(), self.rollouts_acknowledged.get(), self.departed.borrow().clone());
+        timeout(CALL_TIMEOUT, Core::read_barrier(&core, ANSWER_TIMEOUT)).await.ok()?.ok()?;
         let core = core.borrow();
         let version = version(&core.view);
         let ended = Instant::now();
         self.history.borrow_mut().reads.push(Read { version, begun, ended });
-        if emptied == Some(true) && self.emptied.get() == emptied {
-            assert!(core.view.evacuated.contains_key(ZONE), "an acknowledged order to empty a zone is gone");
+        if evacuated == Some(true) && self.evacuated.get() == evacuated {
+            assert!(core.view.evacuated.contains_key(ZONE), "an acknowledged evacuation is lost");
         }
-        if rolled > 0 {
-            assert!(core.view.rollouts.contains_key(SERVICE), "an acknowledged roll-out is gone");
+        if rollouts > 0 {
+            assert!(core.view.rollouts.contains_key(SERVICE), "an acknowledged rollout is lost");
         }
-        for id in left {
-            let open = core.view.nodes.get(&id).is_some_and(|node| node.phase != Phase::Draining);
-            assert!(!open, "{id} leaves, as was acknowledged, and takes requests again");
+        for id in departed {
+            let takes_requests = core.view.nodes.get(&id).is_some_and(|node| node.phase != Phase::Draining);
+            assert!(!takes_requests, "{id} takes requests again after its departure was acknowledged");
         }
         Some(version.map_or(0, |version| version.0))
     }
 
-    /// An operator that empties a zone and takes it back.
+    /// An operator that evacuates a zone and ends the evacuation.
     pub async fn evacuations(self: Rc<Self>) {
         for turn in 0u64.. {
-            sleep(ms(self.net.draw(500..3_000))).await;
-            if self.done.get() && turn % 2 == 0 {
+            sleep(ms(self.simulation.random_in(500..3_000))).await;
+            if self.stopping.get() && turn % 2 == 0 {
                 return;
             }
             let on = turn % 2 == 0;
             if !on {
-                self.emptied.set(None);
+                self.evacuated.set(None);
             }
             loop {
-                let call = move |callers: Rc<Self>, at| async move {
-                    let Some(core) = callers.net.core(at) else { return Outcome::Unknown };
-                    outcome(Ok(Core::evacuation(&core, ZONE, on, WITHIN).await))
+                let call = move |callers: Rc<Self>, replica| async move {
+                    let Some(core) = callers.simulation.core(replica) else { return Outcome::Unknown };
+                    outcome(Ok(Core::set_evacuation(&core, ZONE, on, ANSWER_TIMEOUT).await))
                 };
-                let outcome = self.insist(call).await;
-                assert_ne!(outcome, Outcome::Refused, "an evacuation is refused");
+                let outcome = self.call_until_definite(call).await;
+                assert_ne!(outcome, Outcome::Refused, "an evacuation was refused");
                 if outcome == Outcome::Acknowledged {
                     break;
                 }
             }
-            self.emptied.set(Some(on));
+            self.evacuated.set(Some(on));
         }
     }
 
-    /// An operator that brings in versions.
+    /// An operator that rolls out versions.
     pub async fn rollouts(self: Rc<Self>) {
-        while !self.done.get() {
-            sleep(ms(self.net.draw(1_000..8_000))).await;
-            let revision = format!("v{}", self.rolled.get() + 2);
-            let call = move |callers: Rc<Self>, at| {
+        while !self.stopping.get() {
+            sleep(ms(self.simulation.random_in(1_000..8_000))).await;
+            let revision = format!("v{}", self.rollouts_acknowledged.get() + 2);
+            let call = move |callers: Rc<Self>, replica| {
                 let revision = revision.clone();
                 async move {
-                    let Some(core) = callers.net.core(at) else { return Outcome::Unknown };
-                    outcome(Core::rollout(&core, SERVICE.into(), revision, 4_000, WITHIN).await)
+                    let Some(core) = callers.simulation.core(replica) else { return Outcome::Unknown };
+                    outcome(Core::start_rollout(&core, SERVICE.into(), revision, 4_000, ANSWER_TIMEOUT).await)
                 }
             };
-            let outcome = self.insist(call).await;
-            self.rolled.set(self.rolled.get() + u64::from(outcome == Outcome::Acknowledged));
+            let outcome = self.call_until_definite(call).await;
+            self.rollouts_acknowledged
+                .set(self.rollouts_acknowledged.get() + u64::from(outcome == Outcome::Acknowledged));
         }
     }
 
-    /// Marshals that come, drain, and leave, one after the other.
+    /// Marshals that start, drain and leave, one after the other.
     pub async fn marshals(self: Rc<Self>, number: u32) {
-        for life in 0u32.. {
-            if self.done.get() {
+        for incarnation in 0u32.. {
+            if self.stopping.get() {
                 return;
             }
-            let name = format!("i-{number}-{life}");
+            let name = format!("i-{number}-{incarnation}");
             let mut counter = 0;
-            for _ in 0..self.net.draw(2..6) {
-                self.beat(&name, number, "available", &mut counter).await;
+            for _ in 0..self.simulation.random_in(2..6) {
+                self.heartbeat(&name, number, "available", &mut counter).await;
                 sleep(ms(1_500)).await;
             }
-            if self.beat(&name, number, "draining", &mut counter).await == Outcome::Acknowledged {
-                self.left.borrow_mut().push(name.clone());
+            if self.heartbeat(&name, number, "draining", &mut counter).await == Outcome::Acknowledged {
+                self.departed.borrow_mut().push(name.clone());
             }
             sleep(ms(1_000)).await;
-            let ask = CoreRequest::Leave { id: name.clone() };
-            if self.insist(move |callers: Rc<Self>, at| callers.ask(at, ask.clone())).await
+            let request = CoreRequest::Leave { id: name.clone() };
+            if self
+                .call_until_definite(move |callers: Rc<Self>, replica| {
+                    callers.submit(replica, request.clone())
+                })
+                .await
                 == Outcome::Acknowledged
             {
-                self.left.borrow_mut().push(name);
+                self.departed.borrow_mut().push(name);
             }
         }
     }
 
-    async fn beat(self: &Rc<Self>, name: &str, number: u32, state: &str, counter: &mut u64) -> Outcome {
+    async fn heartbeat(self: &Rc<Self>, name: &str, number: u32, state: &str, counter: &mut u64) -> Outcome {
         *counter += 1;
         let beat = Beat {
             target: SERVICE.into(),
@@ -225,22 +235,22 @@
             call_counter: *counter,
         };
         let name = name.to_owned();
-        self.insist(move |callers: Rc<Self>, at| {
+        self.call_until_definite(move |callers: Rc<Self>, replica| {
             let (name, beat) = (name.clone(), beat.clone());
             async move {
-                let Some(core) = callers.net.core(at) else { return Outcome::Unknown };
-                outcome(Ok(Core::beat(&core, name, beat, WITHIN).await))
+                let Some(core) = callers.simulation.core(replica) else { return Outcome::Unknown };
+                outcome(Ok(Core::heartbeat(&core, name, beat, ANSWER_TIMEOUT).await))
             }
         })
         .await
     }
 
-    /// An edge that follows any machine, and another after a while: what it folds never goes back.
+    /// An edge that follows any replica, and another one after a while: its view never goes back.
     pub async fn edge(self: Rc<Self>, number: u32) {
         let mut view = View::default();
-        while !self.done.get() {
-            let at = 1 + self.net.draw(0..u64::from(MACHINES)) as u32;
-            let Some(core) = self.net.core(at) else {
+        while !self.stopping.get() {
+            let replica = 1 + self.simulation.random_in(0..u64::from(REPLICAS)) as u32;
+            let Some(core) = self.simulation.core(replica) else {
                 sleep(ms(50)).await;
                 continue;
             };
@@ -252,23 +262,23 @@
                 ready: true,
                 life: 1,
             };
-            let (feed, mut queue) = core.borrow_mut().attach(edge, view.index);
-            let until = Instant::now() + ms(self.net.draw(300..4_000));
+            let (feed, mut queue) = core.borrow_mut().attach_edge(edge, view.index);
+            let until = Instant::now() + ms(self.simulation.random_in(300..4_000));
             while let Ok(Some((_, bytes))) = tokio::time::timeout_at(until, queue.recv()).await {
-                let down = wire::read::<ToEdge>(&mut bytes.as_slice()).await.unwrap();
-                self.follow(&mut view, down);
+                let update = wire::read::<ToEdge>(&mut bytes.as_slice()).await.unwrap();
+                self.apply_update(&mut view, update);
             }
-            core.borrow_mut().detach(feed);
+            core.borrow_mut().detach_edge(feed);
         }
     }
 
-    /// As the edge's program folds it.
-    fn follow(&self, view: &mut View, down: ToEdge) {
-        match down {
+    /// Applies an update as the edge proxy does.
+    fn apply_update(&self, view: &mut View, update: ToEdge) {
+        match update {
             ToEdge::Whole(packed) | ToEdge::Renew(packed) => {
-                let whole = View::unpacked(&packed).unwrap();
-                if whole.index > view.index {
-                    *view = whole;
+                let snapshot = View::unpacked(&packed).unwrap();
+                if snapshot.index > view.index {
+                    *view = snapshot;
                 }
             }
             ToEdge::Entries(entries) => {
@@ -281,13 +291,13 @@
             ToEdge::Pulse { index, .. } if index > view.index => view.index = index,
             _ => {}
         }
-        self.same(view);
+        self.assert_same_state(view);
     }
 
-    /// The same entries make the same state everywhere.
-    pub fn same(&self, view: &View) {
+    /// Asserts that the same entries produce the same state everywhere.
+    pub fn assert_same_state(&self, view: &View) {
         let state = digest(&view.packed());
-        let known = *self.states.borrow_mut().entry(view.index).or_insert(state);
-        assert_eq!(known, state, "two states as of entry {}", view.index);
+        let known = *self.digests.borrow_mut().entry(view.index).or_insert(state);
+        assert_eq!(known, state, "two different states as of entry {}", view.index);
     }
 }
--- a/crates/control-plane/tests/control/history.rs
+++ b/crates/control-plane/tests/control/history.rs
@@ -1,10 +1,11 @@
-//! What callers saw, and what must follow from it. The configuration is a register that is changed by compare-and-set, with calls
-//! whose outcome is not known; its history must be one that a single copy could have given.
+//! The observations of callers, and what must hold for them. The configuration is a register that is
+//! changed by compare-and-set, with calls whose outcome may be unknown; its history must be linearizable.
 
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
-/// A configuration as it is known: its number and what tells two of the same number apart.
+/// A version of the configuration: its revision, and a number that tells two versions of the same revision
+/// apart.
 pub type Version = (u64, u64);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -14,11 +15,11 @@
     Unknown,
 }
 
-/// One order of an operator, with all calls that were made for it.
+/// One change requested by an operator, with all calls that were made for it.
 #[derive(Clone, Debug)]
 pub struct Change {
     pub version: Version,
-    /// What it builds on.
+    /// The revision that the change builds on.
     pub expected: u64,
     pub begun: Instant,
     pub ended: Instant,
@@ -39,68 +40,74 @@
 }
 
 impl History {
-    /// Judges the register. `taken`: whether the state holds that this version was taken.
-    pub fn assert_linearizable(&self, taken: impl Fn(&Version) -> bool) {
-        let chain = self.chain(&taken);
+    /// Asserts that the history of the register is linearizable. `is_accepted` tells whether the final state
+    /// remembers a version as accepted.
+    pub fn assert_linearizable(&self, is_accepted: impl Fn(&Version) -> bool) {
+        let accepted = self.accepted_versions(&is_accepted);
         for change in &self.changes {
-            let there = chain.contains_key(&change.version.0) && taken(&change.version);
+            let was_accepted = accepted.contains_key(&change.version.0) && is_accepted(&change.version);
             match change.outcome {
-                Outcome::Acknowledged => assert!(there, "acknowledged, and not taken: {change:?}"),
+                Outcome::Acknowledged => assert!(was_accepted, "acknowledged but not accepted: {change:?}"),
                 Outcome::Refused => {
-                    assert!(!there, "refused, and taken: {change:?}");
-                    self.justified(change, &chain);
+                    assert!(!was_accepted, "refused but accepted: {change:?}");
+                    self.assert_refusal_justified(change, &accepted);
                 }
                 Outcome::Unknown => {}
             }
         }
-        self.reads_follow(&chain);
+        self.assert_reads_follow(&accepted);
     }
 
-    /// The versions that were taken, in order: each on top of the one before.
-    fn chain(&self, taken: &impl Fn(&Version) -> bool) -> BTreeMap<u64, &Change> {
-        let mut chain = BTreeMap::new();
-        for change in self.changes.iter().filter(|change| taken(&change.version)) {
-            let other = chain.insert(change.version.0, change);
-            assert!(other.is_none(), "two configurations under one number: {change:?} and {other:?}");
+    /// Returns the accepted versions in order, and asserts that each builds on the one before.
+    fn accepted_versions(&self, is_accepted: &impl Fn(&Version) -> bool) -> BTreeMap<u64, &Change> {
+        let mut accepted = BTreeMap::new();
+        for change in self.changes.iter().filter(|change| is_accepted(&change.version)) {
+            let other = accepted.insert(change.version.0, change);
+            assert!(other.is_none(), "two configurations with the same revision: {change:?} and {other:?}");
         }
-        let mut before = 0;
-        for change in chain.values() {
-            assert_eq!(change.expected, before, "not on top of the one before: {change:?}");
-            before = change.version.0;
+        let mut previous = 0;
+        for change in accepted.values() {
+            assert_eq!(change.expected, previous, "does not build on the previous version: {change:?}");
+            previous = change.version.0;
         }
-        chain
+        accepted
     }
 
-    /// A refusal says that another version was current at some moment of the call.
-    fn justified(&self, refused: &Change, chain: &BTreeMap<u64, &Change>) {
+    /// Asserts that a refusal was justified: another version was in force at some moment of the call.
+    fn assert_refusal_justified(&self, refused: &Change, accepted: &BTreeMap<u64, &Change>) {
         let expected = refused.expected;
         let in_force = expected == 0
-            || chain
+            || accepted
                 .get(&expected)
                 .is_some_and(|it| it.outcome == Outcome::Acknowledged && it.ended < refused.begun);
-        let next = chain.range(expected + 1..).next().map(|(_, change)| change.begun);
+        let next = accepted.range(expected + 1..).next().map(|(_, change)| change.begun);
         let replaced = next.is_some_and(|begun| begun < refused.ended);
-        assert!(!in_force || replaced, "refused on top of the version in force: {refused:?}");
+        assert!(!in_force || replaced, "refused although it builds on the version in force: {refused:?}");
     }
 
-    fn reads_follow(&self, chain: &BTreeMap<u64, &Change>) {
-        let place = |read: &Read| read.version.map_or(0, |version| version.0);
+    /// Asserts that each read returned an accepted version, at least as new as all versions that were
+    /// acknowledged or read before it.
+    fn assert_reads_follow(&self, accepted: &BTreeMap<u64, &Change>) {
+        let revision = |read: &Read| read.version.map_or(0, |version| version.0);
         for read in &self.reads {
-            let acknowledged = chain
+            let acknowledged = accepted
                 .values()
                 .filter(|it| it.outcome == Outcome::Acknowledged && it.ended < read.begun)
                 .map(|it| it.version.0);
-            let least = acknowledged.max().unwrap_or(0);
-            assert!(place(read) >= least, "a read of {read:?} after {least} was acknowledged");
+            let minimum = acknowledged.max().unwrap_or(0);
+            assert!(revision(read) >= minimum, "read {read:?} after {minimum} was acknowledged");
             if let Some(version) = read.version {
-                let known = chain.get(&version.0).filter(|it| it.version == version);
+                let known = accepted.get(&version.0).filter(|it| it.version == version);
                 assert!(
                     known.is_some_and(|it| it.begun < read.ended),
-                    "a read of what is not taken: {read:?}"
+                    "read a version that was not accepted: {read:?}"
                 );
             }
-            let earlier = self.reads.iter().filter(|it| it.ended < read.begun).map(place).max();
-            assert!(place(read) >= earlier.unwrap_or(0), "a read goes back: {read:?}");
+            let earlier = self.reads.iter().filter(|it| it.ended < read.begun).map(revision).max();
+            assert!(
+                revision(read) >= earlier.unwrap_or(0),
+                "a read returned an older version than an earlier read: {read:?}"
+            );
         }
     }
 }
