--- a/crates/control-plane/tests/detection.rs
+++ b/crates/control-plane/tests/detection.rs
@@ -1,16 +1,16 @@
-//! How soon a machine of the core notices that it is cut off, or that its disk hangs, and what it hands out until then. Each bound
-//! fails where its constant is made four times as long.
+//! How soon a replica notices that it is cut off or that its disk hangs, and what it answers until then.
+//! Each bound fails if the constant behind it is made four times as long.
 
-#[path = "control/machines.rs"]
+#[path = "control/simulation.rs"]
 #[allow(dead_code)]
-mod machines;
+mod simulation;
 
-use machines::{ms, Net, World, MACHINES};
 use milletwing_config::Configuration;
 use milletwing_consensus::Role;
-use milletwing_control_plane::core::{Core, Shared};
+use milletwing_control_plane::core::{Core, SharedCore};
 use milletwing_replicated_state::{Beat, EdgeStatus};
 use milletwing_wire::{self as wire, Answer, ToEdge};
+use simulation::{ms, SharedSimulation, Simulation, REPLICAS};
 use std::future::Future;
 use tokio::time::{sleep, Instant};
 
@@ -21,33 +21,33 @@
     tokio::task::LocalSet::new().block_on(&runtime.unwrap(), test);
 }
 
-fn leads(core: &Shared) -> bool {
+fn is_leader(core: &SharedCore) -> bool {
     let core = core.borrow();
     core.member.role() == Role::Leader && core.member.current()
 }
 
-/// A core that has a leader: its number, and a follower's.
-async fn begun(seed: u64) -> (Net, u32, u32) {
-    let net = World::new(seed);
-    (1..=MACHINES).for_each(|at| net.start(at));
+/// Starts a cluster and waits for a leader. Returns the numbers of the leader and of a follower.
+async fn start_cluster(seed: u64) -> (SharedSimulation, u32, u32) {
+    let simulation = Simulation::new(seed);
+    (1..=REPLICAS).for_each(|replica| simulation.start(replica));
     for _ in 0..1_000 {
-        if let Some((at, _)) = net.cores().into_iter().find(|(_, core)| leads(core)) {
+        if let Some((replica, _)) = simulation.cores().into_iter().find(|(_, core)| is_leader(core)) {
             sleep(ms(1_000)).await;
-            if leads(&net.core(at).unwrap()) {
-                return (net, at, at % MACHINES + 1);
+            if is_leader(&simulation.core(replica).unwrap()) {
+                return (simulation, replica, replica % REPLICAS + 1);
             }
         }
         sleep(ms(10)).await;
     }
-    panic!("nobody leads");
+    panic!("no replica became leader");
 }
 
-/// How long it takes until something is so.
-async fn until(within: u64, mut so: impl FnMut() -> bool) -> Option<u64> {
-    let begun = Instant::now();
-    while begun.elapsed() < ms(within) {
-        if so() {
-            return Some(begun.elapsed().as_millis() as u64);
+/// Returns after how many milliseconds a condition holds.
+async fn time_until(timeout_ms: u64, mut condition: impl FnMut() -> bool) -> Option<u64> {
+    let started_at = Instant::now();
+    while started_at.elapsed() < ms(timeout_ms) {
+        if condition() {
+            return Some(started_at.elapsed().as_millis() as u64);
         }
         sleep(ms(5)).await;
     }
@@ -56,17 +56,24 @@
 
 #[test]
 fn a_leader_that_is_cut_off_steps_down() {
-    // Silence of two election times, looked for once in each of 600 ms; the first look may come right before.
+    // A silence of two election timeouts, checked once in each period of 600 ms; the first check may come
+    // right before that silence is complete.
     const BOUND: u64 = 2_450;
     for seed in 0..SEEDS {
         run(async move {
-            let (net, leader, _) = begun(seed).await;
-            let core = net.core(leader).unwrap();
-            net.cut(leader, true);
-            let after = until(20_000, || core.borrow().member.role() != Role::Leader).await;
-            assert!(after.is_some_and(|after| after <= BOUND), "seed {seed}: after {after:?} ms");
-            let other = until(20_000, || net.cores().iter().any(|(at, it)| *at != leader && leads(it))).await;
-            assert!(other.is_some_and(|after| after <= BOUND), "seed {seed}: {other:?}");
+            let (simulation, leader, _) = start_cluster(seed).await;
+            let core = simulation.core(leader).unwrap();
+            simulation.cut(leader, true);
+            let elapsed_ms = time_until(20_000, || core.borrow().member.role() != Role::Leader).await;
+            assert!(
+                elapsed_ms.is_some_and(|elapsed_ms| elapsed_ms <= BOUND),
+                "seed {seed}: after {elapsed_ms:?} ms"
+            );
+            let other = time_until(20_000, || {
+                simulation.cores().iter().any(|(replica, core)| *replica != leader && is_leader(core))
+            })
+            .await;
+            assert!(other.is_some_and(|elapsed_ms| elapsed_ms <= BOUND), "seed {seed}: {other:?}");
         });
     }
 }
@@ -77,35 +84,38 @@
 }
 
 #[test]
-fn a_follower_that_is_cut_off_acknowledges_no_report_of_a_marshal_for_long() {
-    // It does so while it knows a leader: for two election times without a word, looked for every 25 ms. (The bound of 2 s on the
-    // age of that word stands behind this one.)
+fn a_follower_that_is_cut_off_soon_acknowledges_no_heartbeats() {
+    // A follower acknowledges reports while it knows a leader: for two election timeouts without hearing
+    // it, checked every 25 ms. (The limit of 2 s since the leader was last heard is a second safeguard.)
     const BOUND: u64 = 1_350;
     for seed in 0..SEEDS {
         run(async move {
-            let (net, _, follower) = begun(seed).await;
-            let core = net.core(follower).unwrap();
-            let first = Core::beat(&core, "i-1".into(), marshal(), ms(900)).await;
+            let (simulation, _, follower) = start_cluster(seed).await;
+            let core = simulation.core(follower).unwrap();
+            let first = Core::heartbeat(&core, "i-1".into(), marshal(), ms(900)).await;
             assert!(matches!(first, Answer::Done(_)), "seed {seed}: {first:?}");
             sleep(ms(500)).await;
-            let again = Core::beat(&core, "i-1".into(), marshal(), ms(900)).await;
-            assert!(matches!(again, Answer::Done(_)), "what is known is acknowledged: {again:?}");
-            net.cut(follower, true);
+            let second = Core::heartbeat(&core, "i-1".into(), marshal(), ms(900)).await;
+            assert!(
+                matches!(second, Answer::Done(_)),
+                "a known marshal was not acknowledged by a follower: {second:?}"
+            );
+            simulation.cut(follower, true);
             sleep(ms(BOUND)).await;
-            let cut = Core::beat(&core, "i-1".into(), marshal(), ms(100)).await;
+            let cut = Core::heartbeat(&core, "i-1".into(), marshal(), ms(100)).await;
             assert_eq!(cut, Answer::NotTaken, "seed {seed}");
         });
     }
 }
 
 #[test]
-fn edges_of_a_machine_that_is_cut_off_are_told_so() {
-    // 700 ms without the leader's word, and 200 ms between two pulses.
+fn edges_learn_that_their_replica_is_cut_off() {
+    // 700 ms without hearing the leader, and 200 ms between two status broadcasts.
     const BOUND: u64 = 1_000;
     for seed in 0..SEEDS {
         run(async move {
-            let (net, _, follower) = begun(seed).await;
-            let core = net.core(follower).unwrap();
+            let (simulation, _, follower) = start_cluster(seed).await;
+            let core = simulation.core(follower).unwrap();
             let edge = EdgeStatus {
                 id: 9,
                 zone: "a".into(),
@@ -114,37 +124,41 @@
                 ready: true,
                 life: 1,
             };
-            let (_, mut words) = core.borrow_mut().attach(edge, 0);
-            let mut told = Vec::new();
-            let begun = Instant::now();
+            let (_, mut updates) = core.borrow_mut().attach_edge(edge, 0);
+            let mut freshness = Vec::new();
+            let started_at = Instant::now();
             let mut cut = None;
-            while begun.elapsed() < ms(6_000) && told.last() != Some(&false) {
-                if cut.is_none() && begun.elapsed() > ms(2_000) {
-                    net.cut(follower, true);
+            while started_at.elapsed() < ms(6_000) && freshness.last() != Some(&false) {
+                if cut.is_none() && started_at.elapsed() > ms(2_000) {
+                    simulation.cut(follower, true);
                     cut = Some(Instant::now());
                 }
-                let Some((_, bytes)) = words.recv().await else { break };
+                let Some((_, bytes)) = updates.recv().await else { break };
                 if let ToEdge::Pulse { fresh, .. } =
                     wire::read::<ToEdge>(&mut bytes.as_slice()).await.unwrap()
                 {
-                    told.push(fresh);
+                    freshness.push(fresh);
                 }
             }
-            let after = cut.expect("no word before the cut ends it").elapsed();
-            assert!(told.contains(&true), "seed {seed}: in touch it says so");
-            assert!(told.last() == Some(&false) && after <= ms(BOUND), "seed {seed}: after {after:?}");
+            let elapsed_ms = cut.expect("the updates ended before the cut").elapsed();
+            assert!(freshness.contains(&true), "seed {seed}: no fresh status before the cut");
+            assert!(
+                freshness.last() == Some(&false) && elapsed_ms <= ms(BOUND),
+                "seed {seed}: after {elapsed_ms:?}"
+            );
         });
     }
 }
 
 #[test]
-fn an_edge_that_is_gone_is_named_to_clients_no_longer() {
-    // 1.5 s after it was heard last, at each machine that is in touch; others are told of it twice a second.
+fn clients_are_not_sent_to_an_edge_that_is_gone() {
+    // An edge is dropped 1.5 s after it was last heard, at each replica that is not cut off; replicas inform each other of
+    // edges twice a second.
     const BOUND: u64 = 2_500;
     for seed in 0..SEEDS {
         run(async move {
-            let (net, leader, follower) = begun(seed).await;
-            let status = |id: u32| EdgeStatus {
+            let (simulation, leader, follower) = start_cluster(seed).await;
+            let edge = |id: u32| EdgeStatus {
                 id,
                 zone: "a".into(),
                 region: "north".into(),
@@ -152,97 +166,106 @@
                 ready: true,
                 life: 1,
             };
-            let named = |at: u32, id: u32| {
-                let core = net.core(at).unwrap();
+            let is_resolved = |replica: u32, id: u32| {
+                let core = simulation.core(replica).unwrap();
                 let core = core.borrow();
-                let told = core.resolve("h.example", "north");
-                told.edges.iter().any(|edge| edge.ip().octets()[3] == id as u8)
+                let resolution = core.resolve("h.example", "north");
+                resolution.edges.iter().any(|edge| edge.ip().octets()[3] == id as u8)
             };
-            let lives = |id: u32| {
-                let core = net.core(leader).unwrap();
+            let report = |id: u32| {
+                let core = simulation.core(leader).unwrap();
                 let core = &mut *core.borrow_mut();
                 let now = core.now();
-                core.registry.edge(now, status(id), 0);
+                core.registry.edge(now, edge(id), 0);
             };
             for _ in 0..8 {
-                lives(8);
-                lives(9);
+                report(8);
+                report(9);
                 sleep(ms(250)).await;
             }
-            assert!(named(leader, 9) && named(follower, 9), "seed {seed}");
-            // The second goes on to say that it lives; the first is gone.
+            assert!(is_resolved(leader, 9) && is_resolved(follower, 9), "seed {seed}");
+            // Edge 8 keeps reporting; edge 9 is gone.
             for _ in 0..BOUND / 250 {
-                lives(8);
+                report(8);
                 sleep(ms(250)).await;
             }
-            for at in [leader, follower] {
-                assert!(named(at, 8) && !named(at, 9), "seed {seed}: machine {at}");
+            for replica in [leader, follower] {
+                assert!(
+                    is_resolved(replica, 8) && !is_resolved(replica, 9),
+                    "seed {seed}: replica {replica}"
+                );
             }
         });
     }
 }
 
 #[test]
-fn a_machine_that_is_cut_off_answers_no_read_by_what_it_knew() {
+fn a_replica_that_is_cut_off_answers_no_read_from_stale_state() {
     for seed in 0..SEEDS {
         run(async move {
-            let (net, leader, _) = begun(seed).await;
+            let (simulation, leader, _) = start_cluster(seed).await;
             let body = |revision: u64| format!(r#"{{"revision":{revision},"routing":{{}},"targets":{{}}}}"#);
-            let old = net.core(leader).unwrap();
-            let first = Core::configure(&old, Some(0), body(1).as_bytes(), ms(900)).await.unwrap();
+            let old_leader = simulation.core(leader).unwrap();
+            let first = Core::configure(&old_leader, Some(0), body(1).as_bytes(), ms(900)).await.unwrap();
             assert!(matches!(first, Answer::Done(_)));
-            net.cut(leader, true);
-            // Until the others have a leader and a newer version, and beyond: the one that led is asked all the time.
-            let newer = net.cores().into_iter().find(|(at, _)| *at != leader).unwrap().1;
+            simulation.cut(leader, true);
+            // Until the others have a leader and a newer version, and beyond: the old leader is asked all
+            // the time.
+            let other_replica =
+                simulation.cores().into_iter().find(|(replica, _)| *replica != leader).unwrap().1;
             let mut acknowledged = false;
             for _ in 0..40 {
                 if !acknowledged {
-                    let taken = Core::configure(&newer, Some(1), body(2).as_bytes(), ms(100)).await;
-                    acknowledged = matches!(taken, Ok(Answer::Done(_)));
+                    let accepted =
+                        Core::configure(&other_replica, Some(1), body(2).as_bytes(), ms(100)).await;
+                    acknowledged = matches!(accepted, Ok(Answer::Done(_)));
                 }
-                let read = Core::read(&old, ms(100)).await;
-                let stale = read.is_ok() && old.borrow().view.revision < 2;
+                let read = Core::read_barrier(&old_leader, ms(100)).await;
+                let stale = read.is_ok() && old_leader.borrow().view.revision < 2;
                 assert!(
                     !(acknowledged && stale),
-                    "seed {seed}: an older version is read after a newer one was acknowledged"
+                    "seed {seed}: an older version was read after a newer one was acknowledged"
                 );
             }
-            assert!(acknowledged, "seed {seed}: the others take orders");
-            net.join();
-            let read = until_read(&old).await;
-            assert_eq!(read, 2, "seed {seed}: back in touch it knows");
+            assert!(acknowledged, "seed {seed}: no change was accepted by the other replicas");
+            simulation.heal_links();
+            let read = read_revision(&old_leader).await;
+            assert_eq!(read, 2, "seed {seed}: the replica did not catch up after the cut");
         });
     }
 }
 
-/// The version read at a machine once a read is answered.
-async fn until_read(core: &Shared) -> u64 {
+/// Reads at a replica until a read is answered. Returns the version.
+async fn read_revision(core: &SharedCore) -> u64 {
     for _ in 0..100 {
-        if Core::read(core, ms(900)).await.is_ok() {
+        if Core::read_barrier(core, ms(900)).await.is_ok() {
             return core.borrow().view.revision;
         }
     }
-    panic!("no read is answered");
+    panic!("no read was answered");
 }
 
 #[test]
 fn a_leader_whose_disk_hangs_hands_over() {
-    // A write that takes 300 ms hangs; the next look at the clock is 25 ms later at most.
+    // A write that takes 300 ms counts as hanging; this is checked every 25 ms.
     const BOUND: u64 = 400;
     for seed in 0..SEEDS {
         run(async move {
-            let (net, leader, _) = begun(seed).await;
-            let core = net.core(leader).unwrap();
-            net.stick(leader, ms(6_000), false);
-            let proposing = std::rc::Rc::clone(&core);
+            let (simulation, leader, _) = start_cluster(seed).await;
+            let core = simulation.core(leader).unwrap();
+            simulation.stall_disk(leader, ms(6_000), false);
+            let proposing_core = std::rc::Rc::clone(&core);
             let body = br#"{"revision":1,"routing":{},"targets":{}}"#;
             assert!(Configuration::read(body).is_ok());
             tokio::task::spawn_local(async move {
-                let _ = Core::configure(&proposing, Some(0), body, ms(900)).await;
-                // whoever leads next has it, or not
+                let _ = Core::configure(&proposing_core, Some(0), body, ms(900)).await;
+                // The next leader may have the entry or not.
             });
-            let after = until(20_000, || core.borrow().member.role() != Role::Leader).await;
-            assert!(after.is_some_and(|after| after <= BOUND), "seed {seed}: after {after:?} ms");
+            let elapsed_ms = time_until(20_000, || core.borrow().member.role() != Role::Leader).await;
+            assert!(
+                elapsed_ms.is_some_and(|elapsed_ms| elapsed_ms <= BOUND),
+                "seed {seed}: after {elapsed_ms:?} ms"
+            );
         });
     }
 }
--- a/crates/control-plane/tests/directory.rs
+++ b/crates/control-plane/tests/directory.rs
@@ -1,7 +1,7 @@
-//! Which edges a client is led to when those of its own region are gone.
+//! Which edges a client is sent to when there is no edge in its own region.
 
 use milletwing_config::Settings;
-use milletwing_control_plane::core::{Core, Writes};
+use milletwing_control_plane::core::{Core, LogStorage};
 use milletwing_replicated_state::{EdgeStatus, View};
 
 const SETTINGS: &str =
@@ -26,10 +26,10 @@
 }
 
 #[tokio::test]
-async fn without_edges_of_its_own_region_a_client_is_led_to_homes() {
-    let (send, _batches) = std::sync::mpsc::sync_channel(1);
-    let writes = Writes { stored: Default::default(), send };
-    let core = Core::start(Settings::read(SETTINGS).unwrap(), writes, 1).unwrap();
+async fn without_local_edges_a_client_is_sent_to_serving_regions() {
+    let (sender, _batches) = std::sync::mpsc::sync_channel(1);
+    let storage = LogStorage { stored: Default::default(), sender };
+    let core = Core::start(Settings::read(SETTINGS).unwrap(), storage, 1).unwrap();
     let core = &mut *core.borrow_mut();
     let command = View::default().to_configure(1, BODY.as_bytes()).unwrap();
     core.view.apply(1, &command);
@@ -37,16 +37,25 @@
     for (number, region, ready) in [(1, "north", false), (2, "south", true), (3, "west", true)] {
         core.registry.edge(now, edge(number, region, ready), 0);
     }
-    let led = |core: &Core, host: &str, region: &str| -> Vec<u8> {
+    let resolved = |core: &Core, host: &str, region: &str| -> Vec<u8> {
         core.resolve(host, region).edges.iter().map(|edge| edge.ip().octets()[3]).collect()
     };
-    assert_eq!(led(core, "h.example", "north"), [2], "west is no home of its orders");
-    assert_eq!(led(core, "h.example", "west"), [3], "the client's own region goes first");
-    assert_eq!(led(core, "g.example", "north"), [2, 3], "without homes anywhere is as good");
-    assert_eq!(led(core, "g.example", "east"), [2, 3], "better anywhere than nowhere");
-    // No home is left: the one of its own region that leaves, and not for long.
+    assert_eq!(
+        resolved(core, "h.example", "north"),
+        [2],
+        "west is not a serving region of the host's routes"
+    );
+    assert_eq!(resolved(core, "h.example", "west"), [3], "edges of the client's own region come first");
+    assert_eq!(
+        resolved(core, "g.example", "north"),
+        [2, 3],
+        "without serving regions any ready edge is used"
+    );
+    assert_eq!(resolved(core, "g.example", "east"), [2, 3], "also for a client of a region without edges");
+    // No edge in a serving region is left: the client gets the draining one of its own region, for a short
+    // time.
     core.registry.edge(now + 1, edge(2, "south", false), 0);
-    assert_eq!(led(core, "h.example", "north"), [1]);
-    assert!(core.resolve("h.example", "north").hold_s <= 1.0);
-    assert_eq!(led(core, "h.example", "east"), [3]);
+    assert_eq!(resolved(core, "h.example", "north"), [1]);
+    assert!(core.resolve("h.example", "north").ttl_s <= 1.0);
+    assert_eq!(resolved(core, "h.example", "east"), [3]);
 }
--- a/crates/control-plane/tests/power_loss.rs
+++ b/crates/control-plane/tests/power_loss.rs
@@ -1,35 +1,36 @@
-//! All machines lose power at the moment when one loses its disk, right after something was acknowledged: it holds. Nothing
-//! acknowledged rests on the memory of any machine, or of an edge: none is part of this world.
+//! All replicas lose power at the same moment, right after a request was acknowledged, and one of them also
+//! loses its disk: the acknowledged change must survive. Edges are not part of this simulation, so nothing
+//! can be restored from their memory.
 
-#[path = "control/machines.rs"]
+#[path = "control/simulation.rs"]
 #[allow(dead_code)]
-mod machines;
+mod simulation;
 
-use machines::{ms, Net, World, MACHINES};
 use milletwing_consensus::Role;
-use milletwing_control_plane::core::{Core, Shared};
+use milletwing_control_plane::core::{Core, SharedCore};
 use milletwing_replicated_state::{Beat, State, View};
 use milletwing_wire::{Answer, CoreRequest};
+use simulation::{ms, SharedSimulation, Simulation, REPLICAS};
 use std::future::Future;
 use tokio::time::sleep;
 
 const BODY: &[u8] = br#"{"revision":1,"routing":{},"targets":{"s":{"maxSessions":10}}}"#;
-const NEXT: &[u8] = br#"{"revision":2,"routing":{},"targets":{"s":{"maxSessions":20}}}"#;
+const NEXT_BODY: &[u8] = br#"{"revision":2,"routing":{},"targets":{"s":{"maxSessions":20}}}"#;
 
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     tokio::task::LocalSet::new().block_on(&runtime.unwrap(), test);
 }
 
-/// What an operator or a marshal was told.
+/// A request of an operator or a marshal.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Told {
+enum Request {
     Configuration,
     RollOut,
     Evacuation,
-    TakenBack,
+    EvacuationEnd,
     Drain,
-    Left,
+    Departure,
 }
 
 fn marshal(state: &str, counter: u64) -> Beat {
@@ -39,100 +40,114 @@
     Beat::read(text.as_bytes()).unwrap()
 }
 
-impl Told {
-    async fn order(self, core: &Shared) -> Answer {
-        let within = ms(900);
+impl Request {
+    async fn submit(self, core: &SharedCore) -> Answer {
+        let timeout = ms(900);
         match self {
-            Told::Configuration => {
-                Core::configure(core, Some(1), NEXT, within).await.unwrap_or(Answer::Unsure)
+            Request::Configuration => {
+                Core::configure(core, Some(1), NEXT_BODY, timeout).await.unwrap_or(Answer::Unsure)
             }
-            Told::RollOut => {
-                let ordered = Core::rollout(core, "s".into(), "v2".into(), 60_000, within).await;
-                ordered.unwrap_or(Answer::Unsure)
+            Request::RollOut => {
+                let answer = Core::start_rollout(core, "s".into(), "v2".into(), 60_000, timeout).await;
+                answer.unwrap_or(Answer::Unsure)
             }
-            Told::Evacuation => Core::evacuation(core, "b", true, within).await,
-            Told::TakenBack => Core::evacuation(core, "b", false, within).await,
-            Told::Drain => Core::beat(core, "i-1".into(), marshal("draining", 9), within).await,
-            Told::Left => Core::order(core, CoreRequest::Leave { id: "i-1".into() }, within).await,
+            Request::Evacuation => Core::set_evacuation(core, "b", true, timeout).await,
+            Request::EvacuationEnd => Core::set_evacuation(core, "b", false, timeout).await,
+            Request::Drain => Core::heartbeat(core, "i-1".into(), marshal("draining", 9), timeout).await,
+            Request::Departure => Core::submit(core, CoreRequest::Leave { id: "i-1".into() }, timeout).await,
         }
     }
 
-    fn holds(self, view: &View) -> bool {
+    /// Whether the change is in force in a replica's view.
+    fn is_in_force(self, view: &View) -> bool {
         match self {
-            Told::Configuration => view.revision == 2,
-            Told::RollOut => {
+            Request::Configuration => view.revision == 2,
+            Request::RollOut => {
                 view.rollouts.get("s").is_some_and(|it| it.to == "v2" && it.state == State::Active)
             }
-            Told::Evacuation => view.evacuated.contains_key("b"),
-            Told::TakenBack => !view.evacuated.contains_key("b"),
-            Told::Drain => view.knows_that_it_leaves("i-1"),
-            Told::Left => view.has_left("i-1") && !view.nodes.contains_key("i-1"),
+            Request::Evacuation => view.evacuated.contains_key("b"),
+            Request::EvacuationEnd => !view.evacuated.contains_key("b"),
+            Request::Drain => view.knows_that_it_leaves("i-1"),
+            Request::Departure => view.has_left("i-1") && !view.nodes.contains_key("i-1"),
         }
     }
 }
 
-/// Orders until it is acknowledged by this machine.
-async fn insist(core: &Shared, order: impl AsyncFn() -> Answer) {
+/// Repeats a request until this replica acknowledges it.
+async fn repeat_until_acknowledged(core: &SharedCore, request: impl AsyncFn() -> Answer) {
     for _ in 0..100 {
-        if matches!(order().await, Answer::Done(_)) {
+        if matches!(request().await, Answer::Done(_)) {
             return;
         }
         sleep(ms(50)).await;
     }
-    panic!("not acknowledged at {:?}", core.borrow().member.role());
+    panic!("not acknowledged by a replica that is {:?}", core.borrow().member.role());
 }
 
-async fn settled(net: &Net) {
+async fn wait_for_leader(simulation: &SharedSimulation) {
     for _ in 0..1_000 {
-        let led = net.cores().iter().any(|(_, core)| {
+        let has_leader = simulation.cores().iter().any(|(_, core)| {
             let core = core.borrow();
             core.member.role() == Role::Leader && core.member.current()
         });
-        if led {
+        if has_leader {
             return;
         }
         sleep(ms(20)).await;
     }
-    panic!("nobody leads");
+    panic!("no replica became leader");
 }
 
 #[test]
-fn what_was_acknowledged_outlives_the_loss_of_all_power_and_of_one_disk() {
-    let all =
-        [Told::Configuration, Told::RollOut, Told::Evacuation, Told::TakenBack, Told::Drain, Told::Left];
-    let machines = || 1..=MACHINES;
-    let cases = all
-        .into_iter()
-        .flat_map(|told| machines().flat_map(move |by| machines().map(move |lost| (told, by, lost))));
-    for (seed, (told, by, lost)) in cases.enumerate() {
+fn acknowledged_changes_survive_the_loss_of_all_power_and_of_one_disk() {
+    let all = [
+        Request::Configuration,
+        Request::RollOut,
+        Request::Evacuation,
+        Request::EvacuationEnd,
+        Request::Drain,
+        Request::Departure,
+    ];
+    let replicas = || 1..=REPLICAS;
+    let cases = all.into_iter().flat_map(|request| {
+        replicas().flat_map(move |acknowledged_by| {
+            replicas().map(move |lost_disk| (request, acknowledged_by, lost_disk))
+        })
+    });
+    for (seed, (request, acknowledged_by, lost_disk)) in cases.enumerate() {
         run(async move {
-            let net = World::new(seed as u64);
-            machines().for_each(|at| net.start(at));
-            settled(&net).await;
-            let core = net.core(by).unwrap();
-            insist(&core, async || {
+            let simulation = Simulation::new(seed as u64);
+            replicas().for_each(|replica| simulation.start(replica));
+            wait_for_leader(&simulation).await;
+            let core = simulation.core(acknowledged_by).unwrap();
+            repeat_until_acknowledged(&core, async || {
                 Core::configure(&core, Some(0), BODY, ms(900)).await.unwrap_or(Answer::Unsure)
             })
             .await;
-            insist(&core, async || Core::beat(&core, "i-1".into(), marshal("available", 1), ms(900)).await)
-                .await;
-            if told == Told::TakenBack {
-                insist(&core, async || Told::Evacuation.order(&core).await).await;
+            repeat_until_acknowledged(&core, async || {
+                Core::heartbeat(&core, "i-1".into(), marshal("available", 1), ms(900)).await
+            })
+            .await;
+            if request == Request::EvacuationEnd {
+                repeat_until_acknowledged(&core, async || Request::Evacuation.submit(&core).await).await;
             }
-            insist(&core, async || told.order(&core).await).await;
-            // At this moment.
-            machines().for_each(|at| net.kill(at, at == lost));
+            repeat_until_acknowledged(&core, async || request.submit(&core).await).await;
+            // Power fails right after the acknowledgement.
+            replicas().for_each(|replica| simulation.kill(replica, replica == lost_disk));
             drop(core);
-            machines().for_each(|at| net.start(at));
-            settled(&net).await;
-            for (at, core) in net.cores() {
-                insist(&core, async || match Core::read(&core, ms(900)).await {
+            replicas().for_each(|replica| simulation.start(replica));
+            wait_for_leader(&simulation).await;
+            for (replica, core) in simulation.cores() {
+                repeat_until_acknowledged(&core, async || match Core::read_barrier(&core, ms(900)).await {
                     Ok(index) => Answer::Done(index),
                     Err(_) => Answer::Unsure,
                 })
                 .await;
-                let holds = told.holds(&core.borrow().view);
-                assert!(holds, "{told:?}, acknowledged by {by}, disk of {lost} lost: gone at {at}");
+                let is_in_force = request.is_in_force(&core.borrow().view);
+                assert!(
+                    is_in_force,
+                    "{request:?}, acknowledged by {acknowledged_by}, disk of {lost_disk} lost: lost at {replica}"
+                );
             }
         });
     }
