--- a/crates/control-plane/src/core.rs
+++ b/crates/control-plane/src/core.rs
@@ -16,9 +16,9 @@
 use crate::metrics::Metrics;
 use membership::LossMargin;
 use milletwing_config::{event, Settings};
-use milletwing_consensus::{Id, LogPosition, Member, Message, Options, Role};
+use milletwing_consensus::{LogPosition, Member, MemberId, Message, Options, Role};
 use milletwing_drift_detection::Finding;
-use milletwing_outlier_detection::{Board, Observed, Tally};
+use milletwing_outlier_detection::{HostObservation, LoadBoard, OutlierDetector};
 use milletwing_replicated_state::{EdgeStatus, Registry, View};
 use milletwing_sequential_test::{self as sequential_test};
 use milletwing_wire::{Answer, Peer};
@@ -65,7 +65,7 @@
     known_since: Millis,
     newest_marshal_since: Millis,
     marshals: usize,
-    tally: sequential_test::Tally,
+    tally: sequential_test::TrialTally,
 }
 
 /// A frame for an edge. A status broadcast carries the time when it was made.
@@ -86,7 +86,7 @@
     /// Log position at the end of the batch.
     log_end: LogPosition,
     /// Messages that may be sent only once the batch is on disk.
-    messages: Vec<(Id, Message)>,
+    messages: Vec<(MemberId, Message)>,
     /// When the batch was handed to the disk thread.
     handed_out_at: Millis,
 }
@@ -94,7 +94,7 @@
 /// What the log on disk contained at the start, and the channel to the disk thread.
 pub struct LogStorage {
     /// The log and state found on disk.
-    pub stored: milletwing_consensus::Stored,
+    pub stored: milletwing_consensus::StoredState,
     /// Batches to write, one at a time.
     pub sender: std::sync::mpsc::SyncSender<milletwing_consensus::Batch>,
 }
@@ -114,10 +114,10 @@
     /// The last reported status of marshals and edges.
     pub registry: Registry,
     /// All other replicas that this one has learnt of.
-    pub known_replicas: Vec<Id>,
-    links: HashMap<Id, Link>,
+    pub known_replicas: Vec<MemberId>,
+    links: HashMap<MemberId, Link>,
     /// The newest connection that each replica has made to this one.
-    connections: HashMap<Id, u64>,
+    connections: HashMap<MemberId, u64>,
     /// Connections of edges, by connection number.
     feeds: BTreeMap<u64, EdgeFeed>,
     /// The last number given to a connection, a feed or a read.
@@ -142,17 +142,17 @@
     loss_margin: LossMargin,
     /// Role and leader as last logged.
     role: Role,
-    leader: Option<Id>,
+    leader: Option<MemberId>,
     last_periodic_work: Millis,
     last_gossip: Millis,
     last_status: Millis,
     /// The newest loads of marshals.
-    host_loads: Board,
+    host_loads: LoadBoard,
     /// Evidence about hosts from the observations of all edges, weighed while this replica leads.
-    host_evidence: Tally,
+    host_evidence: OutlierDetector,
     /// Observations of this replica's edges that have not been sent to the other replicas yet, with the
     /// edge's incarnation and the time of the last one.
-    unsent_observations: BTreeMap<u32, (u64, Millis, Vec<Observed>)>,
+    unsent_observations: BTreeMap<u32, (u64, Millis, Vec<HostObservation>)>,
     /// Whether edges route by the agreed state.
     pub drift: DriftMonitor,
     /// Edges as the other replicas were last told of them, and when the full status was last sent.
@@ -165,7 +165,7 @@
     start_confirmed: bool,
     logged_behind: Option<LogPosition>,
     /// Consensus members, as last logged.
-    logged_members: Vec<Id>,
+    logged_members: Vec<MemberId>,
     /// Version trials in progress, as judged while this replica leads.
     trials: BTreeMap<u64, Trial>,
     /// Edges that were ready when last checked, and when a new one last appeared among them; initially the
@@ -181,7 +181,7 @@
     /// When this replica applied the revert of a service's rollout.
     reverted_at: BTreeMap<String, Millis>,
     /// When replicas asked to join.
-    join_requests: BTreeMap<Id, Millis>,
+    join_requests: BTreeMap<MemberId, Millis>,
     /// The full state as sent to edges, as of an entry: encoded once for all edges that need it.
     full_state_frame: Option<(u64, Rc<Vec<u8>>)>,
 }
@@ -193,12 +193,12 @@
         let seeds = settings.seeds();
         let options = Options {
             id: settings.id(),
-            election: 600,
-            heartbeat: 100,
-            losses: settings.timers.resilience.machine_losses,
-            snapshot_every: 1_000,
-            snapshot_bytes: 8 << 20,
-            part: 128 << 10,
+            election_timeout: 600,
+            heartbeat_interval: 100,
+            tolerated_losses: settings.timers.resilience.machine_losses,
+            snapshot_after_entries: 1_000,
+            snapshot_after_bytes: 8 << 20,
+            snapshot_chunk_bytes: 128 << 10,
             seed,
         };
         let founders = settings.own.initial_attach.then_some(seeds.as_slice());
@@ -208,7 +208,7 @@
         // An edge may use half of the time within which a change must be in force; the other half is for the
         // change to reach this replica.
         let lag = (settings.timers.guarantees.applyS * 500.0) as Millis;
-        let lost = member.lost();
+        let lost = member.has_lost_state();
         // Treated as reverted just now, since the actual time is unknown.
         let reverted = reverted_services(&view).map(|service| (service, 1)).collect();
         if lost {
@@ -243,8 +243,8 @@
             last_gossip: 0,
             last_status: 0,
             drift: DriftMonitor::new(lag),
-            host_loads: Board::default(),
-            host_evidence: Tally::default(),
+            host_loads: LoadBoard::default(),
+            host_evidence: OutlierDetector::default(),
             unsent_observations: BTreeMap::new(),
             gossiped_edges: BTreeMap::new(),
             last_full_gossip: 0,
@@ -287,13 +287,13 @@
         loop {
             core.apply_committed();
             core.on_role_changes();
-            for (to, message) in core.member.unbound() {
+            for (to, message) in core.member.take_immediate_messages() {
                 core.send_to(to, &Peer::Consensus(message));
             }
             if core.pending_write.is_some() {
                 return;
             }
-            let Some(work) = core.member.work() else { return };
+            let Some(work) = core.member.take_ready() else { return };
             if work.batch.is_empty() {
                 for (to, message) in work.messages {
                     core.send_to(to, &Peer::Consensus(message));
@@ -318,10 +318,10 @@
             if let Some(write) = core.pending_write.take() {
                 let now = core.now();
                 core.metrics.record_disk_wait(Duration::from_millis(now.saturating_sub(write.handed_out_at)));
-                if core.member.suspended() {
+                if core.member.writes_suspended() {
                     event!(DiskBack, "after {} ms", now.saturating_sub(write.handed_out_at));
                 }
-                core.member.saved(now, write.log_end);
+                core.member.on_persisted(now, write.log_end);
                 for (to, message) in write.messages {
                     core.send_to(to, &Peer::Consensus(message));
                 }
@@ -346,10 +346,10 @@
 
     /// Stops promising durability until the disk works again.
     fn suspend_disk(&mut self, why: &str) {
-        if !self.member.suspended() {
+        if !self.member.writes_suspended() {
             event!(DiskFailed, "{why}: nothing is acknowledged until the disk works again");
             let now = self.now();
-            self.member.suspend(now);
+            self.member.suspend_writes(now);
         }
     }
 
@@ -360,7 +360,7 @@
         if role == Role::Leader && self.role != Role::Leader {
             event!(Leads, "term {}", self.member.term());
             self.trials.clear();
-            self.host_evidence = Tally::default();
+            self.host_evidence = OutlierDetector::default();
             self.unmatched_since.clear();
             self.registry.lead(now, &self.view, &Core::warmup_seconds(&self.view));
         }
@@ -372,7 +372,7 @@
             event!(Follows, "term {}: {name}", self.member.term());
         }
         (self.role, self.leader) = (role, leader);
-        if self.disk_lost && !self.member.lost() {
+        if self.disk_lost && !self.member.has_lost_state() {
             self.disk_lost = false;
             event!(Whole, "caught up as of entry {}", self.view.index);
         }
@@ -391,7 +391,7 @@
     /// Handles a message from another replica. Returns false if the connection was replaced by a newer one:
     /// the message may be from an earlier incarnation of the sender and is ignored, and the connection is
     /// to be closed, so that a running sender makes a new one.
-    pub fn on_peer_message(shared: &SharedCore, from: Id, connection: u64, message: Peer) -> bool {
+    pub fn on_peer_message(shared: &SharedCore, from: MemberId, connection: u64, message: Peer) -> bool {
         {
             let core = &mut *shared.borrow_mut();
             if core.connections.get(&from) != Some(&connection) {
@@ -429,7 +429,7 @@
                 Peer::ViewDigest(index, digest) => core.on_view_digest(now, from, index, &digest),
                 Peer::Observed(observations) => {
                     for (edge, ago, observed) in observations {
-                        core.host_loads.take(now, &observed, ago);
+                        core.host_loads.record(now, &observed, ago);
                         core.record_host_evidence(now, edge, &observed, ago);
                     }
                 }
@@ -438,7 +438,7 @@
                     let silence = core.replacement_silence();
                     core.join_requests.retain(|_, at| now.saturating_sub(*at) < silence);
                     if core.member.members().len() < MAX_MEMBERS {
-                        core.member.admit(now, from);
+                        core.member.add_learner(now, from);
                     }
                 }
             }
@@ -526,7 +526,10 @@
             // A replica that is not a member, or that hears no leader and may have been replaced, asks all
             // replicas that it knows to join; the leader admits it.
             let outside = !self.member.members().contains(&self.settings.id());
-            if !self.shutting_down && !self.member.lost() && (outside || !self.member.fresh(now, 2_000)) {
+            if !self.shutting_down
+                && !self.member.has_lost_state()
+                && (outside || !self.member.has_recent_state(now, 2_000))
+            {
                 for id in self.known_replicas.clone() {
                     self.send_to(id, &Peer::Join);
                 }
--- a/crates/control-plane/src/core/directory.rs
+++ b/crates/control-plane/src/core/directory.rs
@@ -41,7 +41,7 @@
         let now = self.now();
         // A replica that is cut off from the leader keeps using the edges that it last heard of.
         let presence_timeout =
-            if self.member.fresh(now, FRESHNESS_MS) { EDGE_PRESENCE_TIMEOUT_MS } else { 30_000 };
+            if self.member.has_recent_state(now, FRESHNESS_MS) { EDGE_PRESENCE_TIMEOUT_MS } else { 30_000 };
         let known = || self.registry.edges(now).filter(|(edge, _)| !self.view.rests(edge.id, edge.life));
         let ready: Vec<&EdgeStatus> = known()
             .filter(|(edge, ago)| edge.ready && *ago <= presence_timeout)
--- a/crates/control-plane/src/core/edge_reports.rs
+++ b/crates/control-plane/src/core/edge_reports.rs
@@ -2,9 +2,9 @@
 
 use super::{Core, Millis, FRESHNESS_MS};
 use milletwing_config::event;
-use milletwing_consensus::{Id, Role};
+use milletwing_consensus::{MemberId, Role};
 use milletwing_drift_detection::{Digest, Finding, Names, Order};
-use milletwing_outlier_detection::{key, Known, Move, Observed};
+use milletwing_outlier_detection::{host_key, HostAction, HostObservation, KnownHost};
 use milletwing_replicated_state::{Command, EdgeStatus};
 use milletwing_wire::{frame, EdgeReport, Peer, ToEdge};
 use std::rc::Rc;
@@ -21,7 +21,7 @@
             self.on_trial_reports(edge.id, edge.life, reports);
         }
         self.record_observations(now, &edge, observed);
-        let fresh = self.member.fresh(now, FRESHNESS_MS) && !self.member.lost();
+        let fresh = self.member.has_recent_state(now, FRESHNESS_MS) && !self.member.has_lost_state();
         let findings =
             self.drift.check_heartbeat(now, &self.view, (edge.id, index), reflection, sample, fresh);
         let (edge_id, life) = (edge.id, edge.life);
@@ -67,7 +67,7 @@
         &mut self,
         now: Millis,
         edge: u32,
-        observed: &[Observed],
+        observed: &[HostObservation],
         ago: Millis,
     ) {
         if self.role == Role::Leader {
@@ -76,35 +76,36 @@
                 .edges(now)
                 .find(|(status, _)| status.id == edge)
                 .map(|(status, _)| status.zone.clone());
-            self.host_evidence.take(now, edge, &zone.unwrap_or_default(), observed, ago);
+            self.host_evidence.record(now, edge, &zone.unwrap_or_default(), observed, ago);
         }
     }
 
     /// Returns commands to eject, probe or readmit hosts.
     pub(super) fn ejection_commands(&mut self, now: Millis) -> Vec<Command> {
-        let known: Vec<Known> = self
+        let known: Vec<KnownHost> = self
             .view
             .nodes
             .values()
             .map(|node| {
                 let (open, new) = self.view.standing(node);
-                let (host, service) = (key(&node.id), node.target.clone());
+                let (host, service) = (host_key(&node.id), node.target.clone());
                 let warm = node.phase == milletwing_replicated_state::Phase::Warm;
-                Known {
+                KnownHost {
                     host,
                     service,
-                    open: open && !new && warm,
-                    out: self.view.suspected.contains_key(&node.id),
+                    ejectable: open && !new && warm,
+                    ejected: self.view.suspected.contains_key(&node.id),
                 }
             })
             .collect();
-        let id = |host: u32| self.view.nodes.keys().find(|id| key(id) == host).cloned().unwrap_or_default();
-        let changes = self.host_evidence.step(now, &known).into_iter();
+        let id =
+            |host: u32| self.view.nodes.keys().find(|id| host_key(id) == host).cloned().unwrap_or_default();
+        let changes = self.host_evidence.decide(now, &known).into_iter();
         changes
             .map(|change| match change {
-                Move::Out(host) => Command::Suspect { id: id(host), looks: Vec::new() },
-                Move::Look(host, looks) => Command::Suspect { id: id(host), looks },
-                Move::Back(host) => Command::Trust { id: id(host) },
+                HostAction::Eject(host) => Command::Suspect { id: id(host), looks: Vec::new() },
+                HostAction::Retest(host, looks) => Command::Suspect { id: id(host), looks },
+                HostAction::Restore(host) => Command::Trust { id: id(host) },
             })
             .collect()
     }
@@ -116,7 +117,7 @@
         let address = |edge: &u32| std::net::Ipv4Addr::from_bits(*edge).to_string();
         let hosts = self.view.nodes.values().filter_map(|node| {
             let probing_edges = self.view.suspected.get(&node.id);
-            let (found_by, answered_ago) = self.host_evidence.tell(now, key(&node.id));
+            let (found_by, answered_ago) = self.host_evidence.evidence(now, host_key(&node.id));
             (probing_edges.is_some() || !found_by.is_empty()).then(|| {
                 serde_json::json!({"marshal": node.id, "service": node.target, "zone": node.zone,
                     "out": probing_edges.is_some(), "lookedAtBy": probing_edges.into_iter().flatten().map(address).collect::<Vec<_>>(),
@@ -149,18 +150,23 @@
     }
 
     /// Handles another replica's digest of its state.
-    pub(super) fn on_view_digest(&mut self, now: Millis, from: Id, index: u64, digest: &Digest) {
+    pub(super) fn on_view_digest(&mut self, now: Millis, from: MemberId, index: u64, digest: &Digest) {
         if self.drift.record_digest(now, from, index, digest) {
             event!(CoreDiffers, "{}, as of entry {index}", std::net::Ipv4Addr::from_bits(from));
         }
     }
 
     /// Records the observations that an edge of this replica made at hosts.
-    pub(super) fn record_observations(&mut self, now: Millis, edge: &EdgeStatus, observed: Vec<Observed>) {
+    pub(super) fn record_observations(
+        &mut self,
+        now: Millis,
+        edge: &EdgeStatus,
+        observed: Vec<HostObservation>,
+    ) {
         if observed.is_empty() {
             return;
         }
-        self.host_loads.take(now, &observed, 0);
+        self.host_loads.record(now, &observed, 0);
         self.record_host_evidence(now, edge.id, &observed, 0);
         let (_, at, unsent) = self.unsent_observations.entry(edge.id).or_insert((edge.life, now, Vec::new()));
         *at = now;
--- a/crates/control-plane/src/core/membership.rs
+++ b/crates/control-plane/src/core/membership.rs
@@ -2,7 +2,7 @@
 
 use super::{Core, Millis, SharedCore};
 use milletwing_config::event;
-use milletwing_consensus::Id;
+use milletwing_consensus::MemberId;
 use milletwing_consensus::Retirement;
 use milletwing_replicated_state::registry::Verdict;
 use milletwing_wire::{Answer, CoreRequest};
@@ -28,9 +28,9 @@
     /// Logs, once each, that this replica's start is confirmed, or that its disk holds less than the
     /// others.
     pub(super) fn log_start_progress(&mut self) {
-        let behind = self.member.behind();
+        let behind = self.member.catch_up_target();
         if let Some((term, index)) = behind.filter(|_| self.logged_behind != behind) {
-            let (_, last) = self.member.positions();
+            let (_, last) = self.member.commit_and_last();
             event!(
                 DiskBehind,
                 "its log ends at {} of term {}, the other replicas' at {index} of term {term}",
@@ -39,25 +39,27 @@
             );
         }
         self.logged_behind = behind;
-        let confirmed = self.member.confirmed();
-        if confirmed && !self.start_confirmed && !self.member.lost() {
-            event!(StartConfirmed, "as of entry {}", self.member.positions().1 .1);
+        let confirmed = self.member.start_confirmed();
+        if confirmed && !self.start_confirmed && !self.member.has_lost_state() {
+            event!(StartConfirmed, "as of entry {}", self.member.commit_and_last().1 .1);
         }
         self.start_confirmed = confirmed;
     }
 
     /// Removes a member that another replica has replaced.
     pub(super) fn remove_replaced_member(&mut self, now: Millis) {
-        let replaced_member =
-            self.member.superfluous(now, self.replacement_silence()).filter(|id| !self.is_joining(*id, now));
+        let replaced_member = self
+            .member
+            .silent_surplus_member(now, self.replacement_silence())
+            .filter(|id| !self.is_joining(*id, now));
         if let Some(id) = replaced_member {
             let remaining = self.member.members().iter().copied().filter(|member| *member != id).collect();
-            self.member.change(now, remaining);
+            self.member.change_membership(now, remaining);
         }
     }
 
     /// Whether a replica has recently asked to join.
-    fn is_joining(&self, id: Id, now: Millis) -> bool {
+    fn is_joining(&self, id: MemberId, now: Millis) -> bool {
         self.join_requests.get(&id).is_some_and(|at| now.saturating_sub(*at) < self.replacement_silence())
     }
 
@@ -68,10 +70,10 @@
     }
 
     /// Decides whether a replica may stop. Returns none while the other replicas do not hold everything yet.
-    pub(super) fn retire(&mut self, now: Millis, id: Id) -> Option<oneshot::Receiver<Answer>> {
+    pub(super) fn retire(&mut self, now: Millis, id: MemberId) -> Option<oneshot::Receiver<Answer>> {
         match self.member.retire(now, id)? {
             Retirement::MayStop => self.execute_verdict(Verdict::Known),
-            Retirement::Leaves(index) => Some(self.wait_for_entry(self.member.term(), index)),
+            Retirement::RemovedAt(index) => Some(self.wait_for_entry(self.member.term(), index)),
             Retirement::Wait => None,
         }
     }
@@ -84,7 +86,7 @@
             let core = &mut *shared.borrow_mut();
             core.shutting_down = true;
             let now = core.now();
-            core.member.hand_over(now);
+            core.member.transfer_leadership(now);
             core.settings.id()
         };
         Core::advance(shared);
--- a/crates/control-plane/src/core/peers.rs
+++ b/crates/control-plane/src/core/peers.rs
@@ -1,14 +1,14 @@
 //! Links to the other control-plane replicas: which are known, and what waits to be sent to each.
 
 use super::{Core, LINK_QUEUE_FRAMES};
-use milletwing_consensus::Id;
+use milletwing_consensus::MemberId;
 use milletwing_wire::{frame, Peer};
 use std::rc::Rc;
 use tokio::sync::{mpsc, Notify};
 
 impl Core {
     /// Records that another replica exists.
-    pub fn add_known_replica(&mut self, id: Id) {
+    pub fn add_known_replica(&mut self, id: MemberId) {
         if id != self.settings.id() && !self.known_replicas.contains(&id) && self.known_replicas.len() < 64 {
             self.known_replicas.push(id);
         }
@@ -16,7 +16,7 @@
 
     /// Opens the queue of a link. Returns its receiver, and the notification that the replica has dialled
     /// this one.
-    pub fn open_link(&mut self, id: Id) -> (mpsc::Receiver<Rc<Vec<u8>>>, Rc<Notify>) {
+    pub fn open_link(&mut self, id: MemberId) -> (mpsc::Receiver<Rc<Vec<u8>>>, Rc<Notify>) {
         let (sender, queue) = mpsc::channel(LINK_QUEUE_FRAMES);
         let dialled_by_peer = Rc::new(Notify::new());
         self.links.insert(id, (sender, Rc::clone(&dialled_by_peer)));
@@ -25,7 +25,7 @@
 
     /// Registers a connection that another replica has made to this one. Returns the connection's number;
     /// messages on earlier connections no longer count.
-    pub fn on_inbound_connection(&mut self, id: Id) -> u64 {
+    pub fn on_inbound_connection(&mut self, id: MemberId) -> u64 {
         self.add_known_replica(id);
         self.last_id += 1;
         self.connections.insert(id, self.last_id);
@@ -37,7 +37,7 @@
     }
 
     /// Sends a message to another replica, if there is a link to it.
-    pub(super) fn send_to(&self, to: Id, message: &Peer) {
+    pub(super) fn send_to(&self, to: MemberId, message: &Peer) {
         if let Some((link, _)) = self.links.get(&to) {
             // Dropped if the link's queue is full: the consensus protocol sends again.
             let _ = link.try_send(Rc::new(frame(message)));
--- a/crates/control-plane/src/core/requests.rs
+++ b/crates/control-plane/src/core/requests.rs
@@ -120,7 +120,8 @@
             let core = &mut *shared.borrow_mut();
             // Guards against a new leader that decides by a state to which not all committed entries were
             // applied. A read waits for that by itself.
-            if core.member.role() != Role::Leader || (request != CoreRequest::Read && !core.member.current())
+            if core.member.role() != Role::Leader
+                || (request != CoreRequest::Read && !core.member.is_caught_up_leader())
             {
                 return Answer::NotTaken;
             }
@@ -158,7 +159,7 @@
                 if !same && self.newest_entries.service_changed_after(&service, seen) {
                     return Some(ready_answer(Answer::Outdated));
                 }
-                self.newest_entries.set_service(&service, self.member.positions().1 .1 + 1);
+                self.newest_entries.set_service(&service, self.member.commit_and_last().1 .1 + 1);
                 self.propose(&Command::RollOut { service, revision, period_ms })
             }
             CoreRequest::Evacuate { order: request_number, seen, zone, on } => {
@@ -169,7 +170,7 @@
                 let token = self.last_id;
                 let (sender, outcome) = oneshot::channel();
                 self.pending_reads.insert(token, sender);
-                self.member.read(now, token).then_some(outcome)
+                self.member.request_read(now, token).then_some(outcome)
             }
             CoreRequest::Retire { id } => self.retire(now, id),
         }
@@ -349,7 +350,7 @@
             let core = &mut *shared.borrow_mut();
             let now = core.now();
             let leads = core.member.role() == Role::Leader;
-            if !leads && !core.member.fresh(now, HEARTBEAT_ACK_FRESHNESS_MS) {
+            if !leads && !core.member.has_recent_state(now, HEARTBEAT_ACK_FRESHNESS_MS) {
                 return Answer::NotTaken;
             }
             // Guards against acknowledging the departure of a marshal whose arrival this replica has not
--- a/crates/control-plane/src/core/rollouts.rs
+++ b/crates/control-plane/src/core/rollouts.rs
@@ -3,7 +3,9 @@
 use super::{Core, Millis, Trial};
 use milletwing_consensus::Role;
 use milletwing_replicated_state::{Command, RollOut, State};
-use milletwing_sequential_test::{self as sequential_test, cap, latest, pace, Report, LAST};
+use milletwing_sequential_test::{
+    self as sequential_test, latest_advance, min_stage_duration, stage_cap, TrialReport, FINAL_STAGE,
+};
 use milletwing_wire::Peer;
 
 impl Core {
@@ -23,9 +25,9 @@
                 known_since: now,
                 newest_marshal_since: now,
                 marshals: 0,
-                tally: sequential_test::Tally::new(now, rollout.stage),
+                tally: sequential_test::TrialTally::new(now, rollout.stage),
             });
-            trial.tally.moved(now, rollout.stage);
+            trial.tally.set_stage(now, rollout.stage);
             let marshals = self
                 .view
                 .nodes
@@ -39,22 +41,22 @@
             // evidence is inconclusive.
             let end = trial.known_since + rollout.period_ms * 19 / 20;
             let expired = now >= end;
-            let pace = pace(rollout.period_ms);
-            let latest = latest(rollout.stage, end, pace);
+            let pace = min_stage_duration(rollout.period_ms);
+            let latest = latest_advance(rollout.stage, end, pace);
             let step = if marshals == 0 {
                 None
             } else {
-                trial.tally.step(now, trial.newest_marshal_since, pace, latest)
+                trial.tally.decide(now, trial.newest_marshal_since, pace, latest)
             };
             let number = rollout.number;
             commands.extend(match (step, expired) {
-                (Some(sequential_test::Move::On), _) if rollout.stage >= LAST => {
+                (Some(sequential_test::TrialDecision::Advance), _) if rollout.stage >= FINAL_STAGE => {
                     Some(Command::Settle { service, number, good: true })
                 }
-                (Some(sequential_test::Move::Back), _) | (None, true) => {
+                (Some(sequential_test::TrialDecision::RollBack), _) | (None, true) => {
                     Some(Command::Settle { service, number, good: false })
                 }
-                (Some(sequential_test::Move::On), _) => {
+                (Some(sequential_test::TrialDecision::Advance), _) => {
                     Some(Command::Stage { service, number, stage: rollout.stage + 1 })
                 }
                 (None, false) => None,
@@ -66,7 +68,7 @@
     /// Describes the evidence on a trial, if this replica leads.
     pub(super) fn describe_evidence(&self, number: u64) -> String {
         let trial = self.trials.get(&number).filter(|_| self.role == Role::Leader);
-        trial.map(|trial| format!(", {}", trial.tally.tell())).unwrap_or_default()
+        trial.map(|trial| format!(", {}", trial.tally.summary())).unwrap_or_default()
     }
 
     /// Lists trials in progress and the outcomes of earlier ones; with evidence and votes only if this
@@ -75,19 +77,19 @@
         let rows = self.view.rollouts.iter().map(|(service, rollout)| {
             let trial = self.trials.get(&rollout.number).filter(|_| self.role == Role::Leader);
             serde_json::json!({"service": service, "to": rollout.to, "state": rollout.state.word(), "stage": rollout.stage,
-                "cap": cap(rollout.stage, self.settings.timers.guarantees.exposureShare),
-                "evidence": trial.map(|trial| trial.tally.tell())})
+                "cap": stage_cap(rollout.stage, self.settings.timers.guarantees.exposureShare),
+                "evidence": trial.map(|trial| trial.tally.summary())})
         });
         serde_json::json!({"leads": self.role == Role::Leader, "trials": rows.collect::<Vec<_>>()})
     }
 
     /// Passes an edge's trial reports on to the leader.
-    pub fn on_trial_reports(&mut self, edge: u32, life: u64, reports: Vec<Report>) {
+    pub fn on_trial_reports(&mut self, edge: u32, life: u64, reports: Vec<TrialReport>) {
         let now = self.now();
         if self.role == Role::Leader {
             for report in reports {
                 if let Some(trial) = self.trials.get_mut(&report.number) {
-                    trial.tally.report(now, edge, life, report);
+                    trial.tally.record_report(now, edge, life, report);
                 }
             }
         } else if let Some(leader) = self.leader {
--- a/crates/control-plane/src/core/subscriptions.rs
+++ b/crates/control-plane/src/core/subscriptions.rs
@@ -86,7 +86,7 @@
     /// Sends all connected edges the current status, five times a second. It is encoded once, and skipped
     /// for an edge whose queue is not empty, so that a status is never old when it arrives.
     pub(super) fn broadcast_status(&mut self, now: Millis) {
-        let loads = self.host_loads.news(now);
+        let loads = self.host_loads.take_updates(now);
         self.drift.update_own_digest(now, &self.view);
         let bytes = Rc::new(frame(&self.status_message(now, loads)));
         for feed in self.feeds.values() {
@@ -102,8 +102,9 @@
         if cores.is_empty() {
             cores.push(self.settings.id());
         }
-        let fresh =
-            self.member.fresh(now, FRESHNESS_MS) && !self.member.lost() && !self.drift.is_outlier(now);
+        let fresh = self.member.has_recent_state(now, FRESHNESS_MS)
+            && !self.member.has_lost_state()
+            && !self.drift.is_outlier(now);
         let edges = self.registry.ready(now).len() as u32;
         ToEdge::Pulse { fresh, index: self.view.index, cores, edges, loads }
     }
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -5,9 +5,9 @@
 
 use crate::core::{Core, LogStorage, SharedCore};
 use milletwing_config::{event, Settings};
-use milletwing_consensus::{Batch, Stored};
+use milletwing_consensus::{Batch, StoredState};
 use milletwing_replicated_state::View;
-use milletwing_storage::{Backoff, Fault, LogStore, Opened, Report, Writer};
+use milletwing_storage::{Backoff, LogStore, OpenedStore, RetryingWriter, StoreError, WriteOutcome};
 use std::path::PathBuf;
 use std::sync::mpsc::sync_channel;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
@@ -15,15 +15,15 @@
 /// Page cache of the storage library, in bytes.
 const CACHE_BYTES: usize = 1 << 20;
 
-fn open_file(path: &std::path::Path) -> Result<Opened, Fault> {
+fn open_file(path: &std::path::Path) -> Result<OpenedStore, StoreError> {
     if let Some(directory) = path.parent() {
-        std::fs::create_dir_all(directory).map_err(Fault::Refused)?;
+        std::fs::create_dir_all(directory).map_err(StoreError::Unavailable)?;
     }
-    LogStore::file_or_anew(path, CACHE_BYTES, check_contents)
+    LogStore::open_or_replace(path, CACHE_BYTES, check_contents)
 }
 
 /// Checks that the contents of a file are consistent, including the replicated state in it.
-fn check_contents(stored: &Stored) -> Result<(), String> {
+fn check_contents(stored: &StoredState) -> Result<(), String> {
     let found = milletwing_consensus::inspect(stored)?;
     View::unpacked(&found.data).map(drop)
 }
@@ -31,7 +31,7 @@
 /// Opens this replica's file, retrying while the disk refuses. Without a `stateDir` the log is kept in
 /// memory, and each start counts as one with a lost disk. Errors: the file is damaged and cannot be
 /// replaced, or the thread cannot be created.
-pub async fn open(settings: &Settings) -> Result<(LogStorage, UnboundedReceiver<Report>), String> {
+pub async fn open(settings: &Settings) -> Result<(LogStorage, UnboundedReceiver<WriteOutcome>), String> {
     let path = settings.own.state_dir.as_ref().map(|directory| PathBuf::from(directory).join("core.redb"));
     let (store, stored) = match &path {
         Some(path) => {
@@ -43,17 +43,17 @@
             }
             (opened.store, opened.stored)
         }
-        None => (LogStore::memory().map_err(|problem| problem.to_string())?, Stored::default()),
+        None => (LogStore::in_memory().map_err(|problem| problem.to_string())?, StoredState::default()),
     };
     let reopen = move || match &path {
-        Some(path) => LogStore::file(path, CACHE_BYTES),
-        None => Err(Fault::Damaged("a log kept in memory cannot be opened again".into())),
+        Some(path) => LogStore::open(path, CACHE_BYTES),
+        None => Err(StoreError::Corrupt("a log kept in memory cannot be opened again".into())),
     };
     // One batch is written at a time: the next is handed out once the report on the last has come.
     let (sender, batches) = sync_channel::<Batch>(1);
     let (reports, disk_reports) = unbounded_channel();
     let write_batches = move || {
-        let mut writer = Writer::new(store, reopen);
+        let mut writer = RetryingWriter::new(store, reopen);
         for batch in batches {
             let report = |report| {
                 let _ = reports.send(report); // nobody listens any more: the process is ending
@@ -76,7 +76,7 @@
 }
 
 /// Opens the file. If the disk refuses, this is logged once and retried.
-async fn open_with_retry(path: &std::path::Path) -> Result<Opened, String> {
+async fn open_with_retry(path: &std::path::Path) -> Result<OpenedStore, String> {
     let mut backoff = Backoff::default();
     let mut logged = false;
     loop {
@@ -87,24 +87,24 @@
                 }
                 return Ok(opened);
             }
-            Err(Fault::Damaged(why)) => return Err(why),
-            Err(Fault::Refused(why)) if !logged => {
+            Err(StoreError::Corrupt(why)) => return Err(why),
+            Err(StoreError::Unavailable(why)) if !logged => {
                 logged = true;
                 event!(DiskFailed, "cannot open {}: {why}; retrying", path.display());
             }
-            Err(Fault::Refused(_)) => {}
+            Err(StoreError::Unavailable(_)) => {}
         }
-        tokio::time::sleep(backoff.pause()).await;
+        tokio::time::sleep(backoff.next_delay()).await;
     }
 }
 
 /// Passes the disk thread's reports on to the replica.
-pub async fn forward_reports(core: SharedCore, mut reports: UnboundedReceiver<Report>) {
+pub async fn forward_reports(core: SharedCore, mut reports: UnboundedReceiver<WriteOutcome>) {
     while let Some(report) = reports.recv().await {
         match report {
-            Report::Written => Core::on_batch_written(&core),
-            Report::Refused(why) => Core::on_write_refused(&core, &why),
-            Report::Damaged(why) => {
+            WriteOutcome::Written => Core::on_batch_written(&core),
+            WriteOutcome::Unavailable(why) => Core::on_write_refused(&core, &why),
+            WriteOutcome::Corrupt(why) => {
                 // Guards against acknowledging what is on no disk: the next start treats the disk as lost.
                 event!(DiskUnusable, "{why}");
                 std::process::exit(3);
--- a/crates/control-plane/src/drift.rs
+++ b/crates/control-plane/src/drift.rs
@@ -2,13 +2,13 @@
 //! `milletwing-drift-detection` to this replica's view.
 
 use milletwing_config::{event, Configuration};
-use milletwing_consensus::Id;
+use milletwing_consensus::MemberId;
 use milletwing_drift_detection::{
     Checker, Digest, Finding, Names, Order, Part, Reflection, Repairer, Sample,
 };
 use milletwing_replicated_state::View;
-use milletwing_routing::intent;
-use milletwing_routing::table::Table;
+use milletwing_routing::expected_state;
+use milletwing_routing::table::RouteTable;
 use milletwing_routing::tenants::Salt;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -40,7 +40,7 @@
     /// Findings on all edges and the repairs that follow; used while this replica leads.
     pub repairer: Repairer,
     /// The routing table of the configuration in force.
-    table: (Option<Arc<Configuration>>, Table),
+    table: (Option<Arc<Configuration>>, RouteTable),
     samples: VecDeque<CheckedDecision>,
     /// Number of decisions checked, and of those that contradicted the agreed state.
     decision_counts: (u64, u64),
@@ -50,7 +50,7 @@
     alarm_logged: bool,
     /// For each other replica, when its digest was last compared with this replica's for the same entry,
     /// and whether they matched.
-    digest_matches: BTreeMap<Id, (Millis, bool)>,
+    digest_matches: BTreeMap<MemberId, (Millis, bool)>,
 }
 
 impl DriftMonitor {
@@ -59,7 +59,7 @@
         DriftMonitor {
             checker: Checker::new(lag),
             repairer: Repairer::default(),
-            table: (None, Table::default()),
+            table: (None, RouteTable::default()),
             samples: VecDeque::new(),
             decision_counts: (0, 0),
             logged_findings: BTreeMap::new(),
@@ -72,7 +72,7 @@
     fn refresh_table(&mut self, view: &View) {
         let Some(configuration) = view.configuration() else { return };
         if self.table.0.as_ref().is_none_or(|current| !Arc::ptr_eq(current, configuration)) {
-            self.table = (Some(Arc::clone(configuration)), Table::new(configuration, Salt::default()));
+            self.table = (Some(Arc::clone(configuration)), RouteTable::new(configuration, Salt::default()));
         }
     }
 
@@ -83,8 +83,8 @@
         }
         self.refresh_table(view);
         let mut digest = Digest::default();
-        self.table.1.reflect(&mut digest);
-        intent::core(view, &mut digest);
+        self.table.1.export_state(&mut digest);
+        expected_state::export_shared(view, &mut digest);
         self.checker.own(now, view.index, digest);
     }
 
@@ -112,7 +112,7 @@
                     // What an edge may send to a cold marshal is known as of the last entry only.
                     return expected.like(&reflection.digest, Part::Deals);
                 }
-                intent::deals(view, edge, &mut expected);
+                expected_state::export_cold_limits(view, edge, &mut expected);
                 expected
             });
             findings.push(self.checker.check(now, edge, reflection, expected, fresh));
@@ -146,7 +146,9 @@
                 (Some(route), _) if route.name != sample.route => {
                     Some(format!("route {} for {}", sample.route, route.name))
                 }
-                (Some(route), _) if !route.shares.iter().any(|(service, _)| **service == *sample.service) => {
+                (Some(route), _)
+                    if !route.cumulative_shares.iter().any(|(service, _)| **service == *sample.service) =>
+                {
                     Some(format!("service {} on route {}", sample.service, route.name))
                 }
                 (Some(_), Some(node)) if node.target != sample.service => {
@@ -164,9 +166,9 @@
     pub fn list_differences(&mut self, view: &View, edge: u32, names: &Names) -> Vec<String> {
         self.refresh_table(view);
         let mut expected = Names::default();
-        self.table.1.reflect(&mut expected);
-        intent::core(view, &mut expected);
-        intent::deals(view, edge, &mut expected);
+        self.table.1.export_state(&mut expected);
+        expected_state::export_shared(view, &mut expected);
+        expected_state::export_cold_limits(view, edge, &mut expected);
         expected.against(names, MAX_LISTED_DIFFERENCES)
     }
 
@@ -201,7 +203,7 @@
 
     /// Records another replica's digest as of an entry. Returns whether that replica has only now begun to
     /// differ from this one.
-    pub fn record_digest(&mut self, now: Millis, from: Id, index: u64, digest: &Digest) -> bool {
+    pub fn record_digest(&mut self, now: Millis, from: MemberId, index: u64, digest: &Digest) -> bool {
         let Some(own) = self.checker.kept(index) else { return false };
         let same = own.differs(digest).is_empty();
         let before = self.digest_matches.insert(from, (now, same));
--- a/crates/control-plane/src/forwarded_calls.rs
+++ b/crates/control-plane/src/forwarded_calls.rs
@@ -3,14 +3,14 @@
 //! answer is dropped: it may be for a call of an earlier incarnation that waited in a queue, or for a call
 //! that was given up on and sent again.
 
-use milletwing_consensus::Id;
+use milletwing_consensus::MemberId;
 use milletwing_wire::{Answer, CallId};
 use std::collections::HashMap;
 use tokio::sync::oneshot;
 
 /// A call that was sent to `replica` and waits for its answer.
 struct PendingCall {
-    replica: Id,
+    replica: MemberId,
     answer: oneshot::Sender<Answer>,
 }
 
@@ -29,7 +29,7 @@
     }
 
     /// Registers a call to a replica. Returns the id to send with the call, and the receiver of its answer.
-    pub fn begin(&mut self, replica: Id) -> (CallId, oneshot::Receiver<Answer>) {
+    pub fn begin(&mut self, replica: MemberId) -> (CallId, oneshot::Receiver<Answer>) {
         self.last_number += 1;
         let (answer, receiver) = oneshot::channel();
         self.pending.insert(self.last_number, PendingCall { replica, answer });
@@ -38,7 +38,7 @@
 
     /// Delivers an answer. Returns false if no call of this incarnation waits for an answer from that
     /// replica.
-    pub fn deliver(&mut self, from: Id, call: CallId, answer: Answer) -> bool {
+    pub fn deliver(&mut self, from: MemberId, call: CallId, answer: Answer) -> bool {
         if call.life != self.incarnation
             || self.pending.get(&call.number).is_none_or(|pending| pending.replica != from)
         {
--- a/crates/control-plane/src/http_api.rs
+++ b/crates/control-plane/src/http_api.rs
@@ -351,7 +351,7 @@
     let core = core.borrow();
     let now = core.now();
     let address = |id: u32| std::net::Ipv4Addr::from_bits(id).to_string();
-    let (commit, last) = core.member.positions();
+    let (commit, last) = core.member.commit_and_last();
     let peers = core.member.peers().map(|(id, heard, matched, counts)| {
         json!({"address": address(id), "silentMs": now.saturating_sub(heard), "holds": matched, "counts": counts})
     });
@@ -361,9 +361,9 @@
     json_response(
         200,
         json!({"self": address(core.settings.id()), "role": format!("{:?}", core.member.role()),
-            "leader": core.member.leader().map(address), "term": core.member.term(), "lost": core.member.lost(),
+            "leader": core.member.leader().map(address), "term": core.member.term(), "lost": core.member.has_lost_state(),
             "members": core.member.members().iter().map(|id| address(*id)).collect::<Vec<_>>(),
-            "furtherLosses": core.member.further_losses(now), "diskSuspended": core.member.suspended(),
+            "furtherLosses": core.member.further_losses(now), "diskSuspended": core.member.writes_suspended(),
             "commit": commit, "last": last.1, "folded": core.view.index, "revision": core.view.revision,
             "peers": peers.collect::<Vec<_>>(), "edges": edges.collect::<Vec<_>>()})
         .to_string(),
--- a/crates/control-plane/src/links.rs
+++ b/crates/control-plane/src/links.rs
@@ -2,7 +2,7 @@
 //! connections are only read.
 
 use crate::core::{Core, SharedCore};
-use milletwing_consensus::Id;
+use milletwing_consensus::MemberId;
 use milletwing_wire::{self as wire, frame, Greeting, Peer};
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -39,7 +39,7 @@
 }
 
 /// Connects to a replica, again after each failure, and sends what its link's queue holds.
-async fn run_sender(core: SharedCore, to: Id) {
+async fn run_sender(core: SharedCore, to: MemberId) {
     let (own_id, port) = (core.borrow().settings.id(), core.borrow().settings.network.internal_ports.0);
     let (mut queue, dialled_by_peer) = core.borrow_mut().open_link(to);
     loop {
--- a/crates/control-plane/tests/bounds.rs
+++ b/crates/control-plane/tests/bounds.rs
@@ -21,10 +21,9 @@
 
 async fn leader(simulation: &SharedSimulation) -> SharedCore {
     for _ in 0..1_000 {
-        let leading = simulation
-            .cores()
-            .into_iter()
-            .find(|(_, core)| core.borrow().member.role() == Role::Leader && core.borrow().member.current());
+        let leading = simulation.cores().into_iter().find(|(_, core)| {
+            core.borrow().member.role() == Role::Leader && core.borrow().member.is_caught_up_leader()
+        });
         if let Some((_, core)) = leading {
             return core;
         }
--- a/crates/control-plane/tests/control.rs
+++ b/crates/control-plane/tests/control.rs
@@ -121,7 +121,7 @@
     Core::read_barrier(&core, ms(900)).await.expect("no read is answered after recovery");
     for (replica, other) in simulation.cores() {
         let other = other.borrow();
-        assert!(!other.member.lost(), "replica {replica} has not recovered its lost disk");
+        assert!(!other.member.has_lost_state(), "replica {replica} has not recovered its lost disk");
         assert!(other.view.index + 3 >= core.borrow().view.index, "replica {replica} did not catch up");
         callers.assert_same_state(&other.view);
     }
--- a/crates/control-plane/tests/control/simulation.rs
+++ b/crates/control-plane/tests/control/simulation.rs
@@ -78,7 +78,7 @@
 impl Simulation {
     pub fn new(seed: u64) -> SharedSimulation {
         let replica = |number| {
-            let store = Rc::new(LogStore::memory().unwrap());
+            let store = Rc::new(LogStore::in_memory().unwrap());
             let stalled_until = Rc::new(Cell::new(Instant::now()));
             (
                 number,
@@ -200,14 +200,14 @@
             }
         }
         if wipe {
-            replica.store = Rc::new(LogStore::memory().unwrap());
+            replica.store = Rc::new(LogStore::in_memory().unwrap());
         }
     }
 
     /// Whether all replicas run and none has lost its disk without having caught up.
     pub fn all_disks_intact(&self) -> bool {
         self.cores().len() == REPLICAS as usize
-            && self.cores().iter().all(|(_, core)| !core.borrow().member.lost())
+            && self.cores().iter().all(|(_, core)| !core.borrow().member.has_lost_state())
     }
 
     /// Cuts the links from a replica to all others, and with `both_ways` also those to it.
--- a/crates/control-plane/tests/detection.rs
+++ b/crates/control-plane/tests/detection.rs
@@ -23,7 +23,7 @@
 
 fn is_leader(core: &SharedCore) -> bool {
     let core = core.borrow();
-    core.member.role() == Role::Leader && core.member.current()
+    core.member.role() == Role::Leader && core.member.is_caught_up_leader()
 }
 
 /// Starts a cluster and waits for a leader. Returns the numbers of the leader and of a follower.
--- a/crates/control-plane/tests/power_loss.rs
+++ b/crates/control-plane/tests/power_loss.rs
@@ -88,7 +88,7 @@
     for _ in 0..1_000 {
         let has_leader = simulation.cores().iter().any(|(_, core)| {
             let core = core.borrow();
-            core.member.role() == Role::Leader && core.member.current()
+            core.member.role() == Role::Leader && core.member.is_caught_up_leader()
         });
         if has_leader {
             return;
--- a/crates/edge-proxy/src/lib.rs
+++ b/crates/edge-proxy/src/lib.rs
@@ -1,27 +1,38 @@
-//! The program of an edge. `front` takes clients' connections, `watched` is one of them, `framing` tells where its heads begin and end, `validation` checks a request, `relay` takes it through `routing`'s decisions to its
-//! answer, `attempt` is one sending of it, `headers` the protocol's fields, `pool` keeps connections to marshals, `unread` bounds what a peer leaves unread, `probes` asks for their health while the core is out of reach, `body` and `out` what flows through, `feed` follows the core, `metrics` counts. One thread.
+//! The edge proxy: accepts client requests and forwards them to marshals, using the state that it
+//! receives from the core. All tasks run on one thread.
+//!
+//! - `server` accepts client connections and answers readiness checks; `client_stream` wraps one
+//!   client connection, and `framing` finds where its request heads begin and end.
+//! - `validation` checks a request, `relay` carries it from its head to its response by the
+//!   decisions of the routing crate, and `attempt` sends it to one marshal.
+//! - `headers` holds the header fields of the protocol; `body` and `response_body` carry request
+//!   and response bodies.
+//! - `pool` keeps connections to marshals, and `user_timeout` sets their TCP user timeout.
+//!   `health_probes` queries the health of marshals while the core is unreachable.
+//! - `core_feed` follows the core; `metrics` and `metrics_page` count and publish metrics.
+//! - `edge` is the state that all of them share.
 
 mod attempt;
 mod body;
+mod client_stream;
+mod core_feed;
 mod edge;
-mod feed;
 mod framing;
-mod front;
 mod headers;
+mod health_probes;
 mod metrics;
 mod metrics_page;
-mod out;
 mod pool;
-mod probes;
 mod relay;
-mod unread;
+mod response_body;
+mod server;
+mod user_timeout;
 mod validation;
-mod watched;
 
 #[cfg(test)]
 mod tests;
 
-use crate::edge::{Edge, Leaving};
+use crate::edge::{Edge, ShutdownSchedule};
 use milletwing_config::{event, Settings};
 use milletwing_metrics::Endpoint;
 use milletwing_wire::serve_metrics;
@@ -32,67 +43,75 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Part of the time from SIGTERM to the end in which any new request is taken; later only what is likely to be done by the end, and the
-/// rest is told at once to go elsewhere.
-const SERVES: f64 = 0.5;
-/// Seconds before the time from SIGTERM is over at which this process ends by itself.
-const LAST_S: f64 = 0.25;
+/// Fraction of the grace period after SIGTERM during which every request is accepted. Later, only
+/// requests that are likely to finish before the process exits are accepted; the others are refused
+/// at once, so that the client retries at another edge.
+const ACCEPT_ALL_FRACTION: f64 = 0.5;
+/// Seconds before the end of the grace period at which the process exits by itself.
+const EXIT_MARGIN_S: f64 = 0.25;
 
-/// Tells the program to leave in order.
-pub type Leave = Pin<Box<dyn Future<Output = ()>>>;
+/// Completes when the process is to shut down gracefully.
+pub type ShutdownSignal = Pin<Box<dyn Future<Output = ()>>>;
 
-/// Runs until `leave` says so, and what it has taken is finished. `endpoint`: where metrics are served, if anywhere. Errors are for
-/// operators: a binding that is missing or taken.
+/// Runs an edge until `shutdown` completes and the requests in flight have finished.
+///
+/// Metrics are served at `endpoint`, if there is one. Returns an error message for operators if an
+/// address binding is missing or already in use.
 pub async fn run(
     settings: Settings,
     path: &Path,
     endpoint: Option<Endpoint>,
-    leave: Leave,
+    shutdown: ShutdownSignal,
 ) -> Result<(), String> {
     let ingress = settings.binding("ingress")?;
-    let listener =
-        TcpListener::bind(ingress).await.map_err(|problem| format!("ingress {ingress}: {problem}"))?;
+    let listener = TcpListener::bind(ingress).await.map_err(|error| format!("ingress {ingress}: {error}"))?;
     let readiness = match settings.network.bindings.get("readiness") {
-        Some(to) => {
-            Some(TcpListener::bind(to).await.map_err(|problem| format!("readiness {to}: {problem}"))?)
+        Some(address) => {
+            Some(TcpListener::bind(address).await.map_err(|error| format!("readiness {address}: {error}"))?)
         }
         None => None,
     };
     let grace = settings.timers.guarantees.graceS.max(1.0);
-    let edge = Edge::new(settings, ingress, pool::tcp());
+    let edge = Edge::new(settings, ingress, pool::tcp_connector());
     event!(Started, "edge-proxy {} ingress {ingress}", edge.name);
-    tokio::task::spawn_local(feed::follow(Rc::clone(&edge)));
-    tokio::task::spawn_local(feed::watch(Rc::clone(&edge), path.to_path_buf()));
-    tokio::task::spawn_local(probes::run(Rc::clone(&edge)));
+    tokio::task::spawn_local(core_feed::follow(Rc::clone(&edge)));
+    tokio::task::spawn_local(core_feed::watch_settings(Rc::clone(&edge), path.to_path_buf()));
+    tokio::task::spawn_local(health_probes::run(Rc::clone(&edge)));
     if let Some(endpoint) = endpoint {
         let edge = Rc::clone(&edge);
-        let own = edge.settings.borrow().id();
-        tokio::task::spawn_local(serve_metrics(own, endpoint, move || metrics_page::page(&edge)));
+        let edge_id = edge.settings.borrow().id();
+        tokio::task::spawn_local(serve_metrics(edge_id, endpoint, move || metrics_page::page(&edge)));
     }
-    let accepting = tokio::task::spawn_local(front::serve(Rc::clone(&edge), listener));
+    let accept_task = tokio::task::spawn_local(server::serve(Rc::clone(&edge), listener));
     if let Some(readiness) = readiness {
-        tokio::task::spawn_local(front::readiness(Rc::clone(&edge), readiness));
+        tokio::task::spawn_local(server::serve_readiness(Rc::clone(&edge), readiness));
     }
     tokio::select! {
-        _ = leave => {}
-        // The core's last step to bring it back: the platform starts it again.
-        _ = edge.end.notified() => {}
+        _ = shutdown => {}
+        // The last repair step of the core for an inconsistent edge: it exits, and the platform
+        // restarts it.
+        _ = edge.restart_requested.notified() => {}
     }
     event!(Term, "{} connections, {} requests", edge.connections.get(), edge.requests.get());
-    // Out of the directory and readiness at once; who still comes is served, and told to come no more.
-    let after = |seconds: f64| edge.now() + (seconds * 1_000.0) as u64;
-    edge.leave(Leaving { selective_from: after(grace * SERVES), ends: after(grace - LAST_S) });
-    let begun = tokio::time::Instant::now();
-    let at = |part: f64| begun + Duration::from_secs_f64(part);
-    // Clients hold a resolution for a while, some for three times as long.
-    while tokio::time::Instant::now() < at(grace * 0.8)
-        && (edge.connections.get() > 0 || begun.elapsed() < Duration::from_secs_f64(grace * 0.75))
+    // The edge leaves the directory and stops being ready at once. Clients that still connect are
+    // served, with `Connection: close`.
+    let time_after = |seconds: f64| edge.now() + (seconds * 1_000.0) as u64;
+    edge.begin_shutdown(ShutdownSchedule {
+        selective_from: time_after(grace * ACCEPT_ALL_FRACTION),
+        exits_at: time_after(grace - EXIT_MARGIN_S),
+    });
+    let started = tokio::time::Instant::now();
+    let instant_at = |seconds: f64| started + Duration::from_secs_f64(seconds);
+    // Clients cache a name resolution for some time, and some clients three times as long as
+    // others, so new connections are accepted for most of the grace period.
+    while tokio::time::Instant::now() < instant_at(grace * 0.8)
+        && (edge.connections.get() > 0 || started.elapsed() < Duration::from_secs_f64(grace * 0.75))
     {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    accepting.abort();
-    edge.close.notify_waiters();
-    while tokio::time::Instant::now() < at(grace - LAST_S) && edge.connections.get() > 0 {
+    accept_task.abort();
+    edge.close_connections.notify_waiters();
+    while tokio::time::Instant::now() < instant_at(grace - EXIT_MARGIN_S) && edge.connections.get() > 0 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     event!(Ended, "{} requests left", edge.requests.get());
--- a/crates/edge-proxy/src/metrics.rs
+++ b/crates/edge-proxy/src/metrics.rs
@@ -1,18 +1,19 @@
-//! What an edge counts (`docs/metrics.md`).
+//! The metrics that an edge counts (`docs/metrics.md`).
 
 use milletwing_config::configuration::Class;
 use milletwing_config::Kind;
 use milletwing_metrics::{exponential_buckets, Histogram};
-use milletwing_routing::Result as TryResult;
+use milletwing_routing::AttemptOutcome;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The shortest duration that is told apart, in seconds, and how many buckets double it: up to 16 s.
-const SHORTEST_S: f64 = 0.002;
-const BUCKETS: u16 = 14;
+/// Upper bound of the first histogram bucket in seconds, and the number of buckets. Each bound is
+/// twice the one before, up to 16 s.
+const FIRST_BUCKET_S: f64 = 0.002;
+const BUCKET_COUNT: u16 = 14;
 
-/// Counters of an edge since its process began.
+/// Counters of an edge since its process started.
 pub struct Metrics {
     pub requests: RefCell<BTreeMap<(&'static str, &'static str), u64>>,
     pub tries: RefCell<BTreeMap<&'static str, u64>>,
@@ -24,14 +25,14 @@
         Metrics {
             requests: RefCell::default(),
             tries: RefCell::default(),
-            durations: Histogram::new(exponential_buckets(SHORTEST_S, 2.0, BUCKETS)),
+            durations: Histogram::new(exponential_buckets(FIRST_BUCKET_S, 2.0, BUCKET_COUNT)),
         }
     }
 }
 
 impl Metrics {
-    /// A request has a marshal's answer, of this status class, after so long.
-    pub fn answered(&self, class: Class, status: u16, took: Duration) {
+    /// Counts a request that received a marshal's response with this status after `duration`.
+    pub fn answered(&self, class: Class, status: u16, duration: Duration) {
         let outcome = match status {
             ..=299 => "answered_2xx",
             300..=399 => "answered_3xx",
@@ -39,17 +40,17 @@
             500.. => "answered_5xx",
         };
         *self.requests.borrow_mut().entry((class_label(Some(class)), outcome)).or_default() += 1;
-        self.durations.observe(took.as_secs_f64());
+        self.durations.observe(duration.as_secs_f64());
     }
 
-    /// A request ended with this edge's own answer.
+    /// Counts a request that this edge answered itself.
     pub fn refused(&self, class: Option<Class>, kind: &Kind) {
         *self.requests.borrow_mut().entry((class_label(class), reason_label(kind))).or_default() += 1;
     }
 
-    /// One sending of a request ended.
-    pub fn try_ended(&self, result: TryResult) {
-        *self.tries.borrow_mut().entry(try_label(result)).or_default() += 1;
+    /// Counts a finished attempt.
+    pub fn attempt_ended(&self, outcome: AttemptOutcome) {
+        *self.tries.borrow_mut().entry(outcome_label(outcome)).or_default() += 1;
     }
 }
 
@@ -62,7 +63,8 @@
     }
 }
 
-/// A bounded set of words: kinds that no client of an edge meets are one.
+/// Label of a refusal. The set of labels is bounded: kinds that clients of an edge do not encounter
+/// share one.
 fn reason_label(kind: &Kind) -> &'static str {
     match kind {
         Kind::NoRoute => "no_route",
@@ -83,16 +85,16 @@
     }
 }
 
-fn try_label(result: TryResult) -> &'static str {
-    match result {
-        TryResult::Served => "served",
-        TryResult::Failed => "failed",
-        TryResult::TurnedAway => "turned_away",
-        TryResult::Moved => "moved",
-        TryResult::Unreached => "unreached",
-        TryResult::Unsent => "unsent",
-        TryResult::Broken => "broken",
-        TryResult::Silent => "silent",
-        TryResult::Dropped => "dropped",
+fn outcome_label(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
+        AttemptOutcome::Served => "served",
+        AttemptOutcome::Failed => "failed",
+        AttemptOutcome::Rejected => "turned_away",
+        AttemptOutcome::WrongInstance => "moved",
+        AttemptOutcome::ConnectFailed => "unreached",
+        AttemptOutcome::NotSent => "unsent",
+        AttemptOutcome::ConnectionBroken => "broken",
+        AttemptOutcome::TimedOut => "silent",
+        AttemptOutcome::Cancelled => "dropped",
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -2,12 +2,12 @@
 //! connection begins with a [`Greeting`]; a core machine then sends [`Peer`]s one way, an edge [`Up`]s and gets [`Down`]s.
 
 use milletwing_config::{event, Settings};
-use milletwing_consensus::{Id, Message};
+use milletwing_consensus::{MemberId, Message};
 use milletwing_drift_detection::{Digest, Finding, Names, Reflection, Sample, Step};
 use milletwing_metrics::Endpoint;
-use milletwing_outlier_detection::Observed;
+use milletwing_outlier_detection::HostObservation;
 use milletwing_replicated_state::{Beat, Command, EdgeHeartbeat, EdgeStatus};
-use milletwing_sequential_test::Report;
+use milletwing_sequential_test::TrialReport;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::io::{Error, ErrorKind};
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Greeting {
     /// A machine of the core.
-    Core(Id),
+    Core(MemberId),
     /// An edge, and the last entry that it has folded.
     Edge(EdgeStatus, u64),
 }
@@ -45,13 +45,13 @@
     /// One that isn't a member would be.
     Join,
     /// What an edge told of the trials under way: its number and life.
-    Reports { edge: u32, life: u64, reports: Vec<Report> },
+    Reports { edge: u32, life: u64, reports: Vec<TrialReport> },
     /// What a machine found of an edge that it tells, in this life and zone of it.
     Drift { edge: u32, life: u64, zone: String, finding: Finding },
     /// The digest of what the entries up to this one make.
     ViewDigest(u64, Digest),
     /// What the edges of this machine met at hosts since it told last, by edge, each with the milliseconds since.
-    Observed(Vec<(u32, u64, Vec<Observed>)>),
+    Observed(Vec<(u32, u64, Vec<HostObservation>)>),
 }
 
 /// A call among core machines, as its answer names it.
@@ -82,7 +82,7 @@
     /// How far is the log, for certain?
     Read,
     /// This machine is to stop: may it?
-    Retire { id: Id },
+    Retire { id: MemberId },
 }
 
 /// How it ended.
@@ -124,9 +124,9 @@
     /// The last entry that it has folded.
     pub index: u64,
     /// What it sees of the trials under way.
-    pub reports: Vec<Report>,
+    pub reports: Vec<TrialReport>,
     /// What it met at hosts.
-    pub observed: Vec<Observed>,
+    pub observed: Vec<HostObservation>,
     /// What it routes by, about once a second.
     pub reflection: Option<Reflection>,
     /// A decision of its own, now and then.
@@ -149,11 +149,11 @@
     Entries(Vec<(u64, Vec<u8>)>),
     /// The core lives. `fresh`: it hears its leader; `cores`: all machines of the core; `edges`: how many take traffic;
     /// `loads`: of hosts, as far as they are new.
-    Pulse { fresh: bool, index: u64, cores: Vec<Id>, edges: u32, loads: Vec<(u32, u16)> },
+    Pulse { fresh: bool, index: u64, cores: Vec<MemberId>, edges: u32, loads: Vec<(u32, u16)> },
 }
 
 /// The internal address of a core machine.
-pub fn place(id: Id, port: u16) -> SocketAddrV4 {
+pub fn place(id: MemberId, port: u16) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::from_bits(id), port)
 }
 
@@ -183,7 +183,7 @@
 }
 
 /// Serves a process's metrics on the machine's own address. Where the port can't be had, the process goes on without them.
-pub async fn serve_metrics(own: Id, endpoint: Endpoint, text: impl Fn() -> String + 'static) {
+pub async fn serve_metrics(own: MemberId, endpoint: Endpoint, text: impl Fn() -> String + 'static) {
     match TcpListener::bind(place(own, endpoint.port)).await {
         Ok(listener) => milletwing_metrics::serve(listener, endpoint.path, text).await,
         Err(problem) => event!(MetricsUnavailable, "{endpoint}: {problem}"),
