--- a/crates/control-plane/src/core.rs
+++ b/crates/control-plane/src/core.rs
@@ -49,7 +49,7 @@
 const WRITE_HANG_TIMEOUT_MS: Millis = 300;
 /// Milliseconds between two status broadcasts to edges.
 const STATUS_INTERVAL_MS: Millis = 200;
-/// Milliseconds between two times that the other replicas are told the full status of all edges.
+/// Interval in milliseconds at which the full status of all edges is sent to the other replicas.
 const FULL_GOSSIP_INTERVAL_MS: Millis = 3_000;
 /// Maximum number of consensus members.
 const MAX_MEMBERS: usize = 9;
@@ -153,9 +153,9 @@
     /// Observations of this replica's edges that have not been sent to the other replicas yet, with the
     /// edge's incarnation and the time of the last one.
     unsent_observations: BTreeMap<u32, (u64, Millis, Vec<HostObservation>)>,
-    /// Whether edges route by the agreed state.
+    /// Whether edges route by the committed state.
     pub drift: DriftMonitor,
-    /// Edges as the other replicas were last told of them, and when the full status was last sent.
+    /// Edges as last sent to the other replicas, and when the full status was last sent.
     gossiped_edges: BTreeMap<u32, EdgeStatus>,
     last_full_gossip: Millis,
     /// Its disk was lost at the start, and it has not caught up since.
@@ -258,7 +258,7 @@
             reverted_at: reverted,
             unmatched_since: BTreeMap::new(),
             evacuated_at: BTreeMap::new(),
-            newest_entries: NewestEntries::since(restored_index),
+            newest_entries: NewestEntries::from_snapshot(restored_index),
             ready_edges: BTreeSet::new(),
             last_edge_arrival: 1,
         })))
@@ -293,17 +293,17 @@
             if core.pending_write.is_some() {
                 return;
             }
-            let Some(work) = core.member.take_ready() else { return };
-            if work.batch.is_empty() {
-                for (to, message) in work.messages {
+            let Some(ready) = core.member.take_ready() else { return };
+            if ready.batch.is_empty() {
+                for (to, message) in ready.messages {
                     core.send_to(to, &Peer::Consensus(message));
                 }
                 continue;
             }
             let handed_out_at = core.now();
             core.pending_write =
-                Some(PendingWrite { log_end: work.last, messages: work.messages, handed_out_at });
-            if core.disk_writes.send(work.batch).is_err() {
+                Some(PendingWrite { log_end: ready.last, messages: ready.messages, handed_out_at });
+            if core.disk_writes.send(ready.batch).is_err() {
                 event!(DiskUnusable, "the disk thread has ended");
                 std::process::exit(3);
             }
@@ -368,7 +368,8 @@
             self.registry.follow();
         }
         if leader != self.leader && role != Role::Leader {
-            let name = leader.map_or("nobody".into(), |id| std::net::Ipv4Addr::from_bits(id).to_string());
+            let name =
+                leader.map_or("no leader known".into(), |id| std::net::Ipv4Addr::from_bits(id).to_string());
             event!(Follows, "term {}: {name}", self.member.term());
         }
         (self.role, self.leader) = (role, leader);
--- a/crates/control-plane/src/core/apply.rs
+++ b/crates/control-plane/src/core/apply.rs
@@ -19,7 +19,7 @@
                 }
             }
             self.record_reverted_rollouts();
-            self.newest_entries = NewestEntries::since(self.view.index);
+            self.newest_entries = NewestEntries::from_snapshot(self.view.index);
             self.recent_entries.clear();
             self.recent_bytes = 0;
         }
@@ -87,6 +87,7 @@
         }
     }
 
+    /// Logs what an entry changed, or why it was refused.
     fn log_outcome(&self, index: u64, command: &Command, outcome: &Outcome, before: Option<&Configuration>) {
         match (command, outcome) {
             (_, Outcome::Refused(kind)) => event!(Refused, "entry {index}: {kind}"),
@@ -125,9 +126,9 @@
             }
             (Command::Suspect { id, looks }, _) if looks.is_empty() => event!(Suspected, "{id} ejected"),
             (Command::Suspect { id, looks }, _) => {
-                event!(Suspected, "{id} probed by {} edges", looks.len())
+                event!(Suspected, "{id} retested by {} edges", looks.len())
             }
-            (Command::Trust { id }, _) => event!(Suspected, "{id} readmitted"),
+            (Command::Trust { id }, _) => event!(Suspected, "{id} restored"),
             (Command::Repair { edge, step, why, .. }, _) => {
                 event!(Repairs, "{}: {}: {why}", std::net::Ipv4Addr::from_bits(*edge), step.word())
             }
--- a/crates/control-plane/src/core/edge_reports.rs
+++ b/crates/control-plane/src/core/edge_reports.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Compares the routing state that an edge listed by name with the agreed state, and logs the
+    /// Compares the routing state that an edge listed by name with the committed state, and logs the
     /// differences for operators.
     pub fn on_edge_names(&mut self, id: u64, names: &Names) {
         let Some(edge) = self.feeds.get(&id).map(|feed| feed.edge) else { return };
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Returns commands to eject, probe or readmit hosts.
+    /// Returns commands to eject, retest or restore hosts.
     pub(super) fn ejection_commands(&mut self, now: Millis) -> Vec<Command> {
         let known: Vec<KnownHost> = self
             .view
@@ -116,18 +116,18 @@
         let now = self.now();
         let address = |edge: &u32| std::net::Ipv4Addr::from_bits(*edge).to_string();
         let hosts = self.view.nodes.values().filter_map(|node| {
-            let probing_edges = self.view.suspected.get(&node.id);
+            let retesting_edges = self.view.suspected.get(&node.id);
             let (found_by, answered_ago) = self.host_evidence.evidence(now, host_key(&node.id));
-            (probing_edges.is_some() || !found_by.is_empty()).then(|| {
+            (retesting_edges.is_some() || !found_by.is_empty()).then(|| {
                 serde_json::json!({"marshal": node.id, "service": node.target, "zone": node.zone,
-                    "out": probing_edges.is_some(), "lookedAtBy": probing_edges.into_iter().flatten().map(address).collect::<Vec<_>>(),
+                    "out": retesting_edges.is_some(), "lookedAtBy": retesting_edges.into_iter().flatten().map(address).collect::<Vec<_>>(),
                     "foundGoneBy": found_by.iter().map(address).collect::<Vec<_>>(), "answeredMs": answered_ago})
             })
         });
         serde_json::json!({"suspects": hosts.collect::<Vec<_>>()})
     }
 
-    /// Describes whether edges route by the agreed state; complete only at the leader.
+    /// Describes whether edges route by the committed state; complete only at the leader.
     pub fn drift_json(&self) -> serde_json::Value {
         let now = self.now();
         let heard: Vec<(u32, String, Millis)> =
--- a/crates/control-plane/src/core/requests.rs
+++ b/crates/control-plane/src/core/requests.rs
@@ -52,15 +52,15 @@
 /// The newest entries about each zone and each service's rollouts, applied here one by one or proposed here
 /// and not applied yet. If the state came as a snapshot, its last entry counts as a change of everything.
 pub(super) struct NewestEntries {
-    since: u64,
+    snapshot_index: u64,
     zones: BTreeMap<String, u64>,
     services: BTreeMap<String, u64>,
 }
 
 impl NewestEntries {
     /// Starts from a snapshot as of this entry, of which nothing else is known.
-    pub(super) fn since(index: u64) -> NewestEntries {
-        NewestEntries { since: index, zones: BTreeMap::new(), services: BTreeMap::new() }
+    pub(super) fn from_snapshot(index: u64) -> NewestEntries {
+        NewestEntries { snapshot_index: index, zones: BTreeMap::new(), services: BTreeMap::new() }
     }
 
     /// Records an applied entry.
@@ -82,14 +82,14 @@
         self.services.insert(service.into(), index);
     }
 
-    /// Whether there is, or may be, an entry about this zone after `seen`.
+    /// Whether there is, or may be, an entry about this zone after the entry `seen`.
     fn zone_changed_after(&self, zone: &str, seen: u64) -> bool {
-        self.zones.get(zone).copied().unwrap_or(self.since) > seen
+        self.zones.get(zone).copied().unwrap_or(self.snapshot_index) > seen
     }
 
     /// The same for the rollouts of a service.
     fn service_changed_after(&self, service: &str, seen: u64) -> bool {
-        self.services.get(service).copied().unwrap_or(self.since) > seen
+        self.services.get(service).copied().unwrap_or(self.snapshot_index) > seen
     }
 }
 
--- a/crates/control-plane/src/core/rollouts.rs
+++ b/crates/control-plane/src/core/rollouts.rs
@@ -41,15 +41,15 @@
             // evidence is inconclusive.
             let end = trial.known_since + rollout.period_ms * 19 / 20;
             let expired = now >= end;
-            let pace = min_stage_duration(rollout.period_ms);
-            let latest = latest_advance(rollout.stage, end, pace);
-            let step = if marshals == 0 {
+            let min_duration = min_stage_duration(rollout.period_ms);
+            let latest_advance_at = latest_advance(rollout.stage, end, min_duration);
+            let decision = if marshals == 0 {
                 None
             } else {
-                trial.tally.decide(now, trial.newest_marshal_since, pace, latest)
+                trial.tally.decide(now, trial.newest_marshal_since, min_duration, latest_advance_at)
             };
             let number = rollout.number;
-            commands.extend(match (step, expired) {
+            commands.extend(match (decision, expired) {
                 (Some(sequential_test::TrialDecision::Advance), _) if rollout.stage >= FINAL_STAGE => {
                     Some(Command::Settle { service, number, good: true })
                 }
--- a/crates/control-plane/src/core/subscriptions.rs
+++ b/crates/control-plane/src/core/subscriptions.rs
@@ -109,7 +109,7 @@
         ToEdge::Pulse { fresh, index: self.view.index, cores, edges, loads }
     }
 
-    /// Sends an agreed repair step to an edge, if it is connected to this replica.
+    /// Sends a committed repair step to an edge, if it is connected to this replica.
     pub(super) fn send_repair_step(&mut self, edge: u32, life: u64, step: Step) {
         let is_recipient = |feed: &EdgeFeed| (feed.edge, feed.incarnation) == (edge, life);
         let Some(id) = self.feeds.iter().find(|(_, feed)| is_recipient(feed)).map(|(id, _)| *id) else {
--- a/crates/control-plane/src/drift.rs
+++ b/crates/control-plane/src/drift.rs
@@ -1,4 +1,4 @@
-//! Whether edges route by the agreed state, as seen by one control-plane replica: applies
+//! Whether edges route by the committed state, as seen by one control-plane replica: applies
 //! `milletwing-drift-detection` to this replica's view.
 
 use milletwing_config::{event, Configuration};
@@ -33,7 +33,7 @@
     result: String,
 }
 
-/// Checks whether edges route by the agreed state, and plans repairs.
+/// Checks whether edges route by the committed state, and plans repairs.
 pub struct DriftMonitor {
     /// Checks of the edges connected to this replica.
     pub checker: Checker,
@@ -42,7 +42,7 @@
     /// The routing table of the configuration in force.
     table: (Option<Arc<Configuration>>, RouteTable),
     samples: VecDeque<CheckedDecision>,
-    /// Number of decisions checked, and of those that contradicted the agreed state.
+    /// Number of decisions checked, and of those that contradicted the committed state.
     decision_counts: (u64, u64),
     /// The finding last logged of each drifted edge, and whether the alarm that most edges seem to drift
     /// was logged.
@@ -162,7 +162,7 @@
         contradiction
     }
 
-    /// Lists by name what differs between an edge's routing state and the agreed state.
+    /// Lists by name what differs between an edge's routing state and the committed state.
     pub fn list_differences(&mut self, view: &View, edge: u32, names: &Names) -> Vec<String> {
         self.refresh_table(view);
         let mut expected = Names::default();
--- a/crates/control-plane/src/http_api.rs
+++ b/crates/control-plane/src/http_api.rs
@@ -239,8 +239,8 @@
 }
 
 async fn configure(core: &SharedCore, request: Request<Incoming>) -> Result<JsonResponse, Kind> {
-    let given = request.headers().get("if-match").and_then(|value| value.to_str().ok());
-    let if_match: Option<u64> = given.and_then(|value| value.trim().trim_matches('"').parse().ok());
+    let header = request.headers().get("if-match").and_then(|value| value.to_str().ok());
+    let if_match: Option<u64> = header.and_then(|value| value.trim().trim_matches('"').parse().ok());
     let body = read_body(request, MOST_BODY).await?;
     let timeout = if body.len() > 64 << 10 { ANSWER_TIMEOUT_LARGE_BODY } else { ANSWER_TIMEOUT };
     let answer = Core::configure(core, if_match, &body, timeout).await;
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,6 +1,6 @@
 //! The control-plane server, one replica of the replicated control plane (the "core"). `core` holds the
 //! consensus member, the state machine built from its log, and the status reports of marshals and edge
-//! proxies. `drift` checks that edges route by the agreed state, `disk` is the thread that writes the log,
+//! proxies. `drift` checks that edges route by the committed state, `disk` is the thread that writes the log,
 //! `links` holds the connections to other replicas, `feeds` those of edges, `http_api` serves marshals,
 //! operators and clients over HTTP, and `metrics` holds the counters. Everything except the disk thread
 //! runs on one thread.
--- a/crates/control-plane/src/links.rs
+++ b/crates/control-plane/src/links.rs
@@ -20,7 +20,7 @@
 /// A connection is closed after this long without a sign that data arrives.
 pub const DEAD_CONNECTION_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// A connection attempt that takes longer is started anew: packets sent to a machine before it was powered
+/// A connection attempt that takes longer is restarted: packets sent to a machine before it was powered
 /// on are lost, and a running machine answers within a round trip.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(250);
 
