--- a/crates/control-plane/src/core.rs
+++ b/crates/control-plane/src/core.rs
@@ -21,7 +21,7 @@
 use milletwing_outlier_detection::{HostObservation, LoadBoard, OutlierDetector};
 use milletwing_replicated_state::{EdgeStatus, Registry, View};
 use milletwing_sequential_test::{self as sequential_test};
-use milletwing_wire::{Answer, Peer};
+use milletwing_wire::{Answer, PeerMessage};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use requests::{reverted_services, NewestEntries, ProposedEvacuations};
@@ -203,7 +203,7 @@
         };
         let founders = settings.own.initial_attach.then_some(seeds.as_slice());
         let member = Member::new(options, &storage.stored, founders, &seeds, 1)?;
-        let view = View::unpacked(&member.snapshot().data)?;
+        let view = View::from_compressed(&member.snapshot().data)?;
         let restored_index = view.index;
         // An edge may use half of the time within which a change must be in force; the other half is for the
         // change to reach this replica.
@@ -288,7 +288,7 @@
             core.apply_committed();
             core.on_role_changes();
             for (to, message) in core.member.take_immediate_messages() {
-                core.send_to(to, &Peer::Consensus(message));
+                core.send_to(to, &PeerMessage::Consensus(message));
             }
             if core.pending_write.is_some() {
                 return;
@@ -296,7 +296,7 @@
             let Some(ready) = core.member.take_ready() else { return };
             if ready.batch.is_empty() {
                 for (to, message) in ready.messages {
-                    core.send_to(to, &Peer::Consensus(message));
+                    core.send_to(to, &PeerMessage::Consensus(message));
                 }
                 continue;
             }
@@ -323,7 +323,7 @@
                 }
                 core.member.on_persisted(now, write.log_end);
                 for (to, message) in write.messages {
-                    core.send_to(to, &Peer::Consensus(message));
+                    core.send_to(to, &PeerMessage::Consensus(message));
                 }
             }
         }
@@ -362,10 +362,10 @@
             self.trials.clear();
             self.host_evidence = OutlierDetector::default();
             self.unmatched_since.clear();
-            self.registry.lead(now, &self.view, &Core::warmup_seconds(&self.view));
+            self.registry.become_leader(now, &self.view, &Core::warmup_seconds(&self.view));
         }
         if role != Role::Leader && self.role == Role::Leader {
-            self.registry.follow();
+            self.registry.become_follower();
         }
         if leader != self.leader && role != Role::Leader {
             let name =
@@ -392,7 +392,12 @@
     /// Handles a message from another replica. Returns false if the connection was replaced by a newer one:
     /// the message may be from an earlier incarnation of the sender and is ignored, and the connection is
     /// to be closed, so that a running sender makes a new one.
-    pub fn on_peer_message(shared: &SharedCore, from: MemberId, connection: u64, message: Peer) -> bool {
+    pub fn on_peer_message(
+        shared: &SharedCore,
+        from: MemberId,
+        connection: u64,
+        message: PeerMessage,
+    ) -> bool {
         {
             let core = &mut *shared.borrow_mut();
             if core.connections.get(&from) != Some(&connection) {
@@ -400,41 +405,43 @@
             }
             let now = core.now();
             match message {
-                Peer::Consensus(message) => core.member.step(now, from, message),
-                Peer::Gossip { nodes, edges, heartbeats } => {
-                    core.registry.heard(now, &nodes);
-                    edges.into_iter().for_each(|(edge, ago)| core.registry.edge(now, edge, ago));
-                    heartbeats.iter().for_each(|heartbeat| core.registry.edge_heartbeat(now, heartbeat));
+                PeerMessage::Consensus(message) => core.member.step(now, from, message),
+                PeerMessage::Gossip { nodes, edges, heartbeats } => {
+                    core.registry.record_heard(now, &nodes);
+                    edges.into_iter().for_each(|(edge, ago)| core.registry.record_edge(now, edge, ago));
+                    heartbeats
+                        .iter()
+                        .for_each(|heartbeat| core.registry.record_edge_heartbeat(now, heartbeat));
                 }
-                Peer::Call { call, ask } => {
+                PeerMessage::Call { call, request } => {
                     let shared = Rc::clone(shared);
                     tokio::task::spawn_local(async move {
-                        let answer = Core::execute_as_leader(&shared, ask).await;
-                        shared.borrow().send_to(from, &Peer::Reply { call, answer });
+                        let answer = Core::execute_as_leader(&shared, request).await;
+                        shared.borrow().send_to(from, &PeerMessage::Reply { call, answer });
                     });
                 }
-                Peer::Reply { call, answer } => {
+                PeerMessage::Reply { call, answer } => {
                     // An answer that no caller waits for is dropped.
                     core.forwarded_calls.deliver(from, call, answer);
                 }
-                Peer::Reports { edge, life, reports } => {
+                PeerMessage::Reports { edge, incarnation, reports } => {
                     if core.role == Role::Leader {
-                        core.on_trial_reports(edge, life, reports);
+                        core.on_trial_reports(edge, incarnation, reports);
                     }
                 }
-                Peer::Drift { edge, life, zone, finding } => {
+                PeerMessage::Drift { edge, incarnation, zone, finding } => {
                     if core.role == Role::Leader {
-                        core.drift.repairer.told(now, edge, life, &zone, finding);
+                        core.drift.repairer.record_finding(now, edge, incarnation, &zone, finding);
                     }
                 }
-                Peer::ViewDigest(index, digest) => core.on_view_digest(now, from, index, &digest),
-                Peer::Observed(observations) => {
+                PeerMessage::ViewDigest(index, digest) => core.on_view_digest(now, from, index, &digest),
+                PeerMessage::Observed(observations) => {
                     for (edge, ago, observed) in observations {
                         core.host_loads.record(now, &observed, ago);
                         core.record_host_evidence(now, edge, &observed, ago);
                     }
                 }
-                Peer::Join => {
+                PeerMessage::Join => {
                     core.join_requests.insert(from, now);
                     let silence = core.replacement_silence();
                     core.join_requests.retain(|_, at| now.saturating_sub(*at) < silence);
@@ -475,7 +482,7 @@
 
     /// Does the work that is due four times a second: proposals of the leader, clean-up and gossip.
     fn run_periodic_work(&mut self, now: Millis) {
-        let ready: BTreeSet<u32> = self.registry.ready(now).iter().map(|edge| edge.id).collect();
+        let ready: BTreeSet<u32> = self.registry.ready_edges(now).iter().map(|edge| edge.id).collect();
         if !ready.is_subset(&self.ready_edges) {
             self.last_edge_arrival = now;
         }
@@ -489,7 +496,7 @@
             commands.extend(self.repair_commands(now));
             commands.extend(self.ejection_commands(now));
             for command in commands {
-                self.member.propose(now, command.bytes());
+                self.member.propose(now, command.to_bytes());
             }
             self.remove_replaced_member(now);
         }
@@ -500,22 +507,22 @@
         self.pending_reads.retain(|_, read| !read.is_closed());
         self.forwarded_calls.remove_abandoned();
         self.log_loss_margin(now);
-        self.registry.forget(now);
-        for (edge, life) in self.drift.checker.silent(now) {
-            self.report_finding(now, edge, life, Finding::Stuck);
+        self.registry.expire_edges(now);
+        for (edge, incarnation) in self.drift.checker.unreporting_edges(now) {
+            self.report_finding(now, edge, incarnation, Finding::Stuck);
         }
         if !self.unsent_observations.is_empty() {
             let unsent = std::mem::take(&mut self.unsent_observations).into_iter();
             let observations =
                 unsent.map(|(edge, (_, at, observed))| (edge, now.saturating_sub(at), observed)).collect();
-            self.broadcast(&Peer::Observed(observations));
+            self.broadcast(&PeerMessage::Observed(observations));
         }
         if now >= self.last_gossip + 500 {
             self.last_gossip = now;
             if let Some((index, digest)) = self.drift.newest_digest() {
-                self.broadcast(&Peer::ViewDigest(index, digest));
+                self.broadcast(&PeerMessage::ViewDigest(index, digest));
             }
-            let nodes = self.registry.news();
+            let nodes = self.registry.take_heard_ids();
             // Guards against a replica that has just started, or whose link lost a message: the full status
             // is sent periodically.
             if now >= self.last_full_gossip + FULL_GOSSIP_INTERVAL_MS {
@@ -523,7 +530,7 @@
                 self.gossiped_edges.clear();
             }
             let (edges, heartbeats) = self.registry.gossip(now, &mut self.gossiped_edges);
-            self.broadcast(&Peer::Gossip { nodes, edges, heartbeats });
+            self.broadcast(&PeerMessage::Gossip { nodes, edges, heartbeats });
             // A replica that is not a member, or that hears no leader and may have been replaced, asks all
             // replicas that it knows to join; the leader admits it.
             let outside = !self.member.members().contains(&self.settings.id());
@@ -532,7 +539,7 @@
                 && (outside || !self.member.has_recent_state(now, 2_000))
             {
                 for id in self.known_replicas.clone() {
-                    self.send_to(id, &Peer::Join);
+                    self.send_to(id, &PeerMessage::Join);
                 }
             }
         }
@@ -556,5 +563,5 @@
         settings.seeds().into_iter().for_each(|id| core.add_known_replica(id));
         core.settings.timers = settings.timers;
     };
-    milletwing_wire::watch(path, apply).await;
+    milletwing_wire::watch_settings(path, apply).await;
 }
--- a/crates/control-plane/src/core/apply.rs
+++ b/crates/control-plane/src/core/apply.rs
@@ -11,7 +11,7 @@
     /// Applies committed entries, answers the callers that wait for them, and updates the edges.
     pub(super) fn apply_committed(&mut self) {
         if let Some(data) = self.member.take_restored_state() {
-            match View::unpacked(&data) {
+            match View::from_compressed(&data) {
                 Ok(view) => self.view = view,
                 Err(problem) => {
                     event!(DiskUnusable, "cannot read the leader's snapshot: {problem}");
@@ -26,7 +26,7 @@
         let mut repairs = Vec::new();
         for entry in self.member.take_committed() {
             let (answer, bytes) = match entry.payload {
-                Payload::Data(bytes) => match Command::read(&bytes) {
+                Payload::Data(bytes) => match Command::from_bytes(&bytes) {
                     Ok(command) => {
                         let before = self.view.configuration().cloned();
                         let outcome = self.view.apply(entry.index, &command);
@@ -35,15 +35,17 @@
                         if let Command::Settle { service, good: false, .. } = &command {
                             self.reverted_at.insert(service.clone(), self.now());
                         }
-                        if let Command::Repair { edge, life, step, .. } = &command {
-                            repairs.push((*edge, *life, *step));
+                        if let Command::Repair { edge, life: incarnation, step, .. } = &command {
+                            repairs.push((*edge, *incarnation, *step));
                         }
                         if let Command::Evacuate { zone, on: true, .. } = &command {
                             self.evacuated_at.insert(zone.clone(), self.now());
                         }
                         let answer = match outcome {
                             Outcome::Done => Answer::Done(entry.index),
-                            Outcome::Refused(kind) => Answer::Refused(kind.answer().status, kind.to_string()),
+                            Outcome::Refused(kind) => {
+                                Answer::Refused(kind.response().status, kind.to_string())
+                            }
                         };
                         (answer, Some(bytes))
                     }
@@ -64,11 +66,11 @@
             }
             for (term, waiter) in self.waiters.remove(&entry.index).unwrap_or_default() {
                 // Another leader's entry took its place: the outcome of the awaited entry is unknown.
-                let _ = waiter.send(if term == entry.term { answer.clone() } else { Answer::Unsure });
+                let _ = waiter.send(if term == entry.term { answer.clone() } else { Answer::Unknown });
             }
         }
         if self.member.should_snapshot() {
-            let data = self.view.packed();
+            let data = self.view.to_compressed();
             self.member.save_snapshot(data);
         }
         let index = self.view.index;
@@ -77,8 +79,8 @@
                 let _ = reader.send(Answer::Done(index));
             }
         }
-        for (edge, life, step) in repairs {
-            self.send_repair_step(edge, life, step);
+        for (edge, incarnation, step) in repairs {
+            self.send_repair_step(edge, incarnation, step);
         }
         let ids: Vec<u64> =
             self.feeds.iter().filter(|(_, feed)| feed.sent_index < index).map(|(id, _)| *id).collect();
@@ -130,7 +132,7 @@
             }
             (Command::Trust { id }, _) => event!(Suspected, "{id} restored"),
             (Command::Repair { edge, step, why, .. }, _) => {
-                event!(Repairs, "{}: {}: {why}", std::net::Ipv4Addr::from_bits(*edge), step.word())
+                event!(Repairs, "{}: {}: {why}", std::net::Ipv4Addr::from_bits(*edge), step.as_str())
             }
             (Command::Settle { service, number, good }, _) => {
                 let end = if *good { "completed" } else { "reverted" };
--- a/crates/control-plane/src/core/directory.rs
+++ b/crates/control-plane/src/core/directory.rs
@@ -42,7 +42,8 @@
         // A replica that is cut off from the leader keeps using the edges that it last heard of.
         let presence_timeout =
             if self.member.has_recent_state(now, FRESHNESS_MS) { EDGE_PRESENCE_TIMEOUT_MS } else { 30_000 };
-        let known = || self.registry.edges(now).filter(|(edge, _)| !self.view.rests(edge.id, edge.life));
+        let known =
+            || self.registry.edges(now).filter(|(edge, _)| !self.view.is_resting(edge.id, edge.incarnation));
         let ready: Vec<&EdgeStatus> = known()
             .filter(|(edge, ago)| edge.ready && *ago <= presence_timeout)
             .map(|(edge, _)| edge)
--- a/crates/control-plane/src/core/edge_reports.rs
+++ b/crates/control-plane/src/core/edge_reports.rs
@@ -3,43 +3,43 @@
 use super::{Core, Millis, FRESHNESS_MS};
 use milletwing_config::event;
 use milletwing_consensus::{MemberId, Role};
-use milletwing_drift_detection::{Digest, Finding, Names, Order};
+use milletwing_drift_detection::{Digest, Finding, LeafHashes, RepairOrder};
 use milletwing_outlier_detection::{host_key, HostAction, HostObservation, KnownHost};
 use milletwing_replicated_state::{Command, EdgeStatus};
-use milletwing_wire::{frame, EdgeReport, Peer, ToEdge};
+use milletwing_wire::{encode_frame, EdgeReport, PeerMessage, ToEdge};
 use std::rc::Rc;
 
 impl Core {
     /// Handles the heartbeat of an edge that is connected to this replica.
     pub fn on_edge_report(&mut self, id: u64, report: EdgeReport) {
         let now = self.now();
-        let EdgeReport { edge, index, reports, observed, reflection, sample } = report;
+        let EdgeReport { edge, index, reports, observed, table_digest, sample } = report;
         if let Some(feed) = self.feeds.get_mut(&id) {
             feed.applied_index = index;
         }
         if !reports.is_empty() {
-            self.on_trial_reports(edge.id, edge.life, reports);
+            self.on_trial_reports(edge.id, edge.incarnation, reports);
         }
         self.record_observations(now, &edge, observed);
         let fresh = self.member.has_recent_state(now, FRESHNESS_MS) && !self.member.has_lost_state();
         let findings =
-            self.drift.check_heartbeat(now, &self.view, (edge.id, index), reflection, sample, fresh);
-        let (edge_id, life) = (edge.id, edge.life);
-        self.registry.edge(now, edge, 0);
+            self.drift.check_heartbeat(now, &self.view, (edge.id, index), table_digest, sample, fresh);
+        let (edge_id, incarnation) = (edge.id, edge.incarnation);
+        self.registry.record_edge(now, edge, 0);
         for finding in findings {
-            if matches!(finding, Finding::Partial(_)) {
+            if matches!(finding, Finding::Mismatch(_)) {
                 if let Some(feed) = self.feeds.get(&id) {
-                    let _ = feed.sender.try_send((None, Rc::new(frame(&ToEdge::Names))));
+                    let _ = feed.sender.try_send((None, Rc::new(encode_frame(&ToEdge::LeafHashes))));
                     // If the queue is full, the next such finding asks again.
                 }
             }
-            self.report_finding(now, edge_id, life, finding);
+            self.report_finding(now, edge_id, incarnation, finding);
         }
     }
 
     /// Compares the routing state that an edge listed by name with the committed state, and logs the
     /// differences for operators.
-    pub fn on_edge_names(&mut self, id: u64, names: &Names) {
+    pub fn on_edge_names(&mut self, id: u64, names: &LeafHashes) {
         let Some(edge) = self.feeds.get(&id).map(|feed| feed.edge) else { return };
         let differences = self.drift.list_differences(&self.view, edge, names);
         if !differences.is_empty() {
@@ -48,7 +48,7 @@
     }
 
     /// Passes a finding on an edge of this replica on to the leader.
-    pub(super) fn report_finding(&mut self, now: Millis, edge: u32, life: u64, finding: Finding) {
+    pub(super) fn report_finding(&mut self, now: Millis, edge: u32, incarnation: u64, finding: Finding) {
         let zone = self
             .registry
             .edges(now)
@@ -56,9 +56,9 @@
             .map(|(status, _)| status.zone.clone());
         let zone = zone.unwrap_or_default();
         if self.role == Role::Leader {
-            self.drift.repairer.told(now, edge, life, &zone, finding);
+            self.drift.repairer.record_finding(now, edge, incarnation, &zone, finding);
         } else if let Some(leader) = self.leader {
-            self.send_to(leader, &Peer::Drift { edge, life, zone, finding });
+            self.send_to(leader, &PeerMessage::Drift { edge, incarnation, zone, finding });
         }
     }
 
@@ -87,7 +87,7 @@
             .nodes
             .values()
             .map(|node| {
-                let (open, new) = self.view.standing(node);
+                let (open, new) = self.view.eligibility(node);
                 let (host, service) = (host_key(&node.id), node.target.clone());
                 let warm = node.phase == milletwing_replicated_state::Phase::Warm;
                 KnownHost {
@@ -137,15 +137,20 @@
 
     /// Returns commands to repair drifted edges.
     pub(super) fn repair_commands(&mut self, now: Millis) -> Vec<Command> {
-        let ready = self.registry.ready(now).into_iter();
+        let ready = self.registry.ready_edges(now).into_iter();
         let ready: Vec<(u32, String)> = ready
-            .filter(|edge| !self.view.rests(edge.id, edge.life))
+            .filter(|edge| !self.view.is_resting(edge.id, edge.incarnation))
             .map(|edge| (edge.id, edge.zone.clone()))
             .collect();
         let orders = self.drift.next_repairs(now, &ready);
         orders
             .into_iter()
-            .map(|Order { edge, life, step, why }| Command::Repair { edge, life, step, why })
+            .map(|RepairOrder { edge, incarnation, step, why }| Command::Repair {
+                edge,
+                life: incarnation,
+                step,
+                why,
+            })
             .collect()
     }
 
@@ -168,7 +173,8 @@
         }
         self.host_loads.record(now, &observed, 0);
         self.record_host_evidence(now, edge.id, &observed, 0);
-        let (_, at, unsent) = self.unsent_observations.entry(edge.id).or_insert((edge.life, now, Vec::new()));
+        let (_, at, unsent) =
+            self.unsent_observations.entry(edge.id).or_insert((edge.incarnation, now, Vec::new()));
         *at = now;
         // Bounded, as they are sent on four times a second; what does not fit is made up for by the edge's
         // next requests.
--- a/crates/control-plane/src/core/membership.rs
+++ b/crates/control-plane/src/core/membership.rs
@@ -4,7 +4,7 @@
 use milletwing_config::event;
 use milletwing_consensus::MemberId;
 use milletwing_consensus::Retirement;
-use milletwing_replicated_state::registry::Verdict;
+use milletwing_replicated_state::registry::BeatAction;
 use milletwing_wire::{Answer, CoreRequest};
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -72,7 +72,7 @@
     /// Decides whether a replica may stop. Returns none while the other replicas do not hold everything yet.
     pub(super) fn retire(&mut self, now: Millis, id: MemberId) -> Option<oneshot::Receiver<Answer>> {
         match self.member.retire(now, id)? {
-            Retirement::MayStop => self.execute_verdict(Verdict::Known),
+            Retirement::MayStop => self.execute_verdict(BeatAction::Acknowledge),
             Retirement::RemovedAt(index) => Some(self.wait_for_entry(self.member.term(), index)),
             Retirement::Wait => None,
         }
@@ -92,7 +92,7 @@
         Core::advance(shared);
         let retirement = async {
             while !matches!(
-                Core::submit(shared, CoreRequest::Retire { id }, RETIRE_REQUEST_INTERVAL * 4).await,
+                Core::submit(shared, CoreRequest::RequestStop { id }, RETIRE_REQUEST_INTERVAL * 4).await,
                 Answer::Done(_)
             ) {
                 tokio::time::sleep(RETIRE_REQUEST_INTERVAL).await;
--- a/crates/control-plane/src/core/peers.rs
+++ b/crates/control-plane/src/core/peers.rs
@@ -2,7 +2,7 @@
 
 use super::{Core, LINK_QUEUE_FRAMES};
 use milletwing_consensus::MemberId;
-use milletwing_wire::{frame, Peer};
+use milletwing_wire::{encode_frame, PeerMessage};
 use std::rc::Rc;
 use tokio::sync::{mpsc, Notify};
 
@@ -37,16 +37,16 @@
     }
 
     /// Sends a message to another replica, if there is a link to it.
-    pub(super) fn send_to(&self, to: MemberId, message: &Peer) {
+    pub(super) fn send_to(&self, to: MemberId, message: &PeerMessage) {
         if let Some((link, _)) = self.links.get(&to) {
             // Dropped if the link's queue is full: the consensus protocol sends again.
-            let _ = link.try_send(Rc::new(frame(message)));
+            let _ = link.try_send(Rc::new(encode_frame(message)));
         }
     }
 
     /// Sends a message, encoded once, to all known replicas.
-    pub(super) fn broadcast(&self, message: &Peer) {
-        let bytes = Rc::new(frame(message));
+    pub(super) fn broadcast(&self, message: &PeerMessage) {
+        let bytes = Rc::new(encode_frame(message));
         for (link, _) in self.known_replicas.iter().filter_map(|id| self.links.get(id)) {
             // Dropped if the link's queue is full: such messages are sent periodically.
             let _ = link.try_send(Rc::clone(&bytes));
--- a/crates/control-plane/src/core/requests.rs
+++ b/crates/control-plane/src/core/requests.rs
@@ -2,12 +2,12 @@
 //! long as their callers wait.
 
 use super::{Core, Millis, SharedCore};
-use milletwing_config::{event, Configuration, Kind};
+use milletwing_config::{event, Configuration, ErrorKind};
 use milletwing_consensus::{LogPosition, Role};
-use milletwing_replicated_state::registry::Verdict;
-use milletwing_replicated_state::view::digest;
-use milletwing_replicated_state::{Beat, Command, State, View};
-use milletwing_wire::{Answer, CoreRequest, Peer};
+use milletwing_replicated_state::registry::BeatAction;
+use milletwing_replicated_state::view::configuration_digest;
+use milletwing_replicated_state::{Beat, Command, RollOutState, View};
+use milletwing_wire::{Answer, CoreRequest, PeerMessage};
 use std::cell::Cell;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -102,7 +102,7 @@
 
 /// Services whose newest rollout was reverted.
 pub(super) fn reverted_services(view: &View) -> impl Iterator<Item = String> + '_ {
-    let reverted = view.rollouts.iter().filter(|(_, rollout)| rollout.state == State::Reverted);
+    let reverted = view.rollouts.iter().filter(|(_, rollout)| rollout.state == RollOutState::Reverted);
     reverted.map(|(service, _)| service.clone())
 }
 
@@ -110,7 +110,7 @@
     /// Proposes an entry, and returns a receiver of its outcome.
     pub(super) fn propose(&mut self, command: &Command) -> Option<oneshot::Receiver<Answer>> {
         let now = self.now();
-        let (term, index) = self.member.propose(now, command.bytes())?;
+        let (term, index) = self.member.propose(now, command.to_bytes())?;
         Some(self.wait_for_entry(term, index))
     }
 
@@ -121,16 +121,16 @@
             // Guards against a new leader that decides by a state to which not all committed entries were
             // applied. A read waits for that by itself.
             if core.member.role() != Role::Leader
-                || (request != CoreRequest::Read && !core.member.is_caught_up_leader())
+                || (request != CoreRequest::ReadIndex && !core.member.is_caught_up_leader())
             {
-                return Answer::NotTaken;
+                return Answer::NotAccepted;
             }
             core.execute(request)
         };
         Core::advance(shared);
         match outcome {
-            Some(outcome) => outcome.await.unwrap_or(Answer::Unsure),
-            None => Answer::NotTaken,
+            Some(outcome) => outcome.await.unwrap_or(Answer::Unknown),
+            None => Answer::NotAccepted,
         }
     }
 
@@ -139,25 +139,25 @@
         let now = self.now();
         match request {
             CoreRequest::Beat { id, beat } => {
-                let verdict = self.registry.beat(now, &self.view, &id, &beat);
+                let verdict = self.registry.handle_beat(now, &self.view, &id, &beat);
                 self.execute_verdict(verdict)
             }
             CoreRequest::Leave { id } => {
-                let verdict = self.registry.leave(&self.view, &id);
+                let verdict = self.registry.handle_leave(&self.view, &id);
                 self.execute_verdict(verdict)
             }
             CoreRequest::Configure(command) => self.propose(&command),
             CoreRequest::RollOut { service, revision, .. }
                 if self.was_just_reverted(now, &service, &revision) =>
             {
-                self.execute_verdict(Verdict::Known)
+                self.execute_verdict(BeatAction::Acknowledge)
             }
             CoreRequest::RollOut { seen, service, revision, period_ms } => {
                 let current = self.view.rollouts.get(&service);
-                let same =
-                    current.is_some_and(|rollout| rollout.to == revision && rollout.state == State::Active);
+                let same = current
+                    .is_some_and(|rollout| rollout.to == revision && rollout.state == RollOutState::Active);
                 if !same && self.newest_entries.service_changed_after(&service, seen) {
-                    return Some(ready_answer(Answer::Outdated));
+                    return Some(ready_answer(Answer::Superseded));
                 }
                 self.newest_entries.set_service(&service, self.member.commit_and_last().1 .1 + 1);
                 self.propose(&Command::RollOut { service, revision, period_ms })
@@ -165,14 +165,14 @@
             CoreRequest::Evacuate { order: request_number, seen, zone, on } => {
                 self.propose_evacuation(now, (request_number, seen), zone, on)
             }
-            CoreRequest::Read => {
+            CoreRequest::ReadIndex => {
                 self.last_id += 1;
                 let token = self.last_id;
                 let (sender, outcome) = oneshot::channel();
                 self.pending_reads.insert(token, sender);
                 self.member.request_read(now, token).then_some(outcome)
             }
-            CoreRequest::Retire { id } => self.retire(now, id),
+            CoreRequest::RequestStop { id } => self.retire(now, id),
         }
     }
 
@@ -191,13 +191,13 @@
             .filter(|(term, _)| *term == self.member.term())
         {
             if self.view.index >= index {
-                return self.execute_verdict(Verdict::Known);
+                return self.execute_verdict(BeatAction::Acknowledge);
             }
             return Some(self.wait_for_entry(term, index));
         }
         // Guards against a call that was delayed until a later request about this zone was acknowledged.
         if self.newest_entries.zone_changed_after(&zone, seen) {
-            return Some(ready_answer(Answer::Outdated));
+            return Some(ready_answer(Answer::Superseded));
         }
         let command = if on {
             let sure = self.is_new_evacuation(now, &zone);
@@ -205,7 +205,7 @@
         } else {
             self.end_evacuation_command(now, zone.clone())
         };
-        let position = self.member.propose(now, command.bytes())?;
+        let position = self.member.propose(now, command.to_bytes())?;
         self.newest_entries.set_zone(&zone, position.1);
         self.proposed_evacuations.record(request_number, position);
         Some(self.wait_for_entry(position.0, position.1))
@@ -237,7 +237,7 @@
     /// Builds the command that ends a zone's evacuation.
     pub(super) fn end_evacuation_command(&mut self, now: Millis, zone: String) -> Command {
         if self.view.evacuated.get(&zone).is_some_and(|emptied| emptied.orders == 1) {
-            return self.registry.take_back(now, &self.view, &zone, &Core::warmup_seconds(&self.view));
+            return self.registry.restore_zone(now, &self.view, &zone, &Core::warmup_seconds(&self.view));
         }
         Command::Evacuate { zone, on: false, sure: false, deals: Vec::new() }
     }
@@ -267,24 +267,27 @@
     pub(super) fn was_just_reverted(&self, now: Millis, service: &str, revision: &str) -> bool {
         let retry_window = (self.settings.timers.guarantees.ackS * 2_000.0) as Millis;
         let rollout = self.view.rollouts.get(service);
-        let same = rollout.is_some_and(|rollout| rollout.to == revision && rollout.state == State::Reverted);
+        let same =
+            rollout.is_some_and(|rollout| rollout.to == revision && rollout.state == RollOutState::Reverted);
         same && self.reverted_at.get(service).is_some_and(|at| now < at + retry_window)
     }
 
     /// Executes the registry's verdict on a heartbeat or a departure.
-    pub(super) fn execute_verdict(&mut self, verdict: Verdict) -> Option<oneshot::Receiver<Answer>> {
+    pub(super) fn execute_verdict(&mut self, verdict: BeatAction) -> Option<oneshot::Receiver<Answer>> {
         match verdict {
             // Twice the weight: the first marshal of a service also records the version that has its
             // traffic.
-            Verdict::Enter(Command::NodeUp(node)) => match self.view.admits(2 * node.weight()) {
-                Ok(()) => self.propose(&Command::NodeUp(node)),
-                Err(kind) => {
-                    event!(Refused, "{}: {kind}", node.id);
-                    Some(ready_answer(Answer::Refused(kind.answer().status, kind.to_string())))
+            BeatAction::Propose(Command::NodeUp(node)) => {
+                match self.view.check_admission(2 * node.max_encoded_size()) {
+                    Ok(()) => self.propose(&Command::NodeUp(node)),
+                    Err(kind) => {
+                        event!(Refused, "{}: {kind}", node.id);
+                        Some(ready_answer(Answer::Refused(kind.response().status, kind.to_string())))
+                    }
                 }
-            },
-            Verdict::Enter(command) => self.propose(&command),
-            Verdict::Known => Some(ready_answer(Answer::Done(self.view.index))),
+            }
+            BeatAction::Propose(command) => self.propose(&command),
+            BeatAction::Acknowledge => Some(ready_answer(Answer::Done(self.view.index))),
         }
     }
 
@@ -298,7 +301,7 @@
                     // Until the answer comes, the request may have been proposed.
                     let accepted_before = maybe_accepted.replace(true);
                     let answer = Core::execute_as_leader(shared, request.clone()).await;
-                    maybe_accepted.set(accepted_before || !answer.not_taken());
+                    maybe_accepted.set(accepted_before || !answer.not_applied());
                     answer
                 } else {
                     Core::forward_to_leader(shared, request.clone(), &maybe_accepted).await
@@ -306,8 +309,8 @@
                 match answer {
                     Answer::Done(_) | Answer::Refused(..) => return answer,
                     // Definite, unless an earlier attempt was accepted by a leader that is gone.
-                    Answer::Outdated if !maybe_accepted.get() => return answer,
-                    Answer::Unsure | Answer::NotTaken | Answer::Outdated => {
+                    Answer::Superseded if !maybe_accepted.get() => return answer,
+                    Answer::Unknown | Answer::NotAccepted | Answer::Superseded => {
                         tokio::time::sleep(RETRY_PAUSE).await
                     }
                 }
@@ -315,8 +318,8 @@
         };
         match tokio::time::timeout(timeout, attempts).await {
             Ok(answer) => answer,
-            Err(_) if maybe_accepted.get() => Answer::Unsure,
-            Err(_) => Answer::NotTaken,
+            Err(_) if maybe_accepted.get() => Answer::Unknown,
+            Err(_) => Answer::NotAccepted,
         }
     }
 
@@ -329,16 +332,16 @@
         let outcome = {
             let core = &mut *shared.borrow_mut();
             let Some(leader) = core.leader.filter(|leader| *leader != core.settings.id()) else {
-                return Answer::NotTaken;
+                return Answer::NotAccepted;
             };
             let (call, outcome) = core.forwarded_calls.begin(leader);
-            core.send_to(leader, &Peer::Call { call, ask: request });
+            core.send_to(leader, &PeerMessage::Call { call, request });
             outcome
         };
         let accepted_before = maybe_accepted.replace(true);
         let answer = tokio::time::timeout(FORWARD_TIMEOUT, outcome).await;
-        let answer = answer.map_or(Answer::Unsure, |answer| answer.unwrap_or(Answer::Unsure));
-        maybe_accepted.set(accepted_before || !answer.not_taken());
+        let answer = answer.map_or(Answer::Unknown, |answer| answer.unwrap_or(Answer::Unknown));
+        maybe_accepted.set(accepted_before || !answer.not_applied());
         answer
     }
 
@@ -351,13 +354,13 @@
             let now = core.now();
             let leads = core.member.role() == Role::Leader;
             if !leads && !core.member.has_recent_state(now, HEARTBEAT_ACK_FRESHNESS_MS) {
-                return Answer::NotTaken;
+                return Answer::NotAccepted;
             }
             // Guards against acknowledging the departure of a marshal whose arrival this replica has not
             // applied yet.
-            let certain = beat.state != DRAINING || core.view.knows_that_it_leaves(&id);
-            let verdict = (!leads).then(|| core.registry.beat(now, &core.view, &id, &beat));
-            (verdict == Some(Verdict::Known) && certain).then_some(core.view.index)
+            let certain = beat.state != DRAINING || core.view.is_leaving(&id);
+            let verdict = (!leads).then(|| core.registry.handle_beat(now, &core.view, &id, &beat));
+            (verdict == Some(BeatAction::Acknowledge) && certain).then_some(core.view.index)
         };
         match known {
             Some(index) => Answer::Done(index),
@@ -373,25 +376,25 @@
         if_match: Option<u64>,
         body: &[u8],
         timeout: Duration,
-    ) -> Result<Answer, Kind> {
-        let revision = Configuration::read(body)?.revision;
-        let body_digest = digest(body);
+    ) -> Result<Answer, ErrorKind> {
+        let revision = Configuration::parse(body)?.revision;
+        let body_digest = configuration_digest(body);
         let deadline = Instant::now() + timeout;
         // A 412 is definite only once this replica knows everything that was acknowledged before the call.
         for is_up_to_date in [false, true] {
             let command = {
                 let core = shared.borrow();
-                if core.view.took(revision, &body_digest) {
+                if core.view.has_accepted(revision, &body_digest) {
                     return Ok(Answer::Done(core.view.index));
                 }
-                let if_match = if_match.ok_or(Kind::NoMatch)?;
+                let if_match = if_match.ok_or(ErrorKind::InvalidIfMatch)?;
                 if core.view.revision == if_match {
                     // Checked before the entry is proposed, to guard against a state too large for replicas
                     // to read.
-                    core.view.admits(body.len().saturating_sub(core.view.body.len()))?;
-                    Some(core.view.to_configure(revision, body)?)
+                    core.view.check_admission(body.len().saturating_sub(core.view.body.len()))?;
+                    Some(core.view.configure_command(revision, body)?)
                 } else if is_up_to_date {
-                    return Err(Kind::Stale(core.view.revision));
+                    return Err(ErrorKind::RevisionMismatch(core.view.revision));
                 } else {
                     None
                 }
@@ -404,7 +407,7 @@
                 None => drop(Core::read_barrier(shared, remaining).await?),
             }
         }
-        Ok(Answer::NotTaken)
+        Ok(Answer::NotAccepted)
     }
 
     /// Evacuates a zone on an operator's request, or ends its evacuation. A call that is delayed and
@@ -422,7 +425,7 @@
         revision: String,
         period_ms: u64,
         timeout: Duration,
-    ) -> Result<Answer, Kind> {
+    ) -> Result<Answer, ErrorKind> {
         let deadline = Instant::now() + timeout;
         let is_known = |core: &Core| {
             core.view.configuration().is_none_or(|configuration| configuration.targets.contains_key(&service))
@@ -431,7 +434,7 @@
             // This replica may lag behind: not knowing the service yet is no reason to refuse.
             Core::read_barrier(shared, timeout).await?;
             if !is_known(&shared.borrow()) {
-                return Err(Kind::Unknown(format!("service {service}")));
+                return Err(ErrorKind::NotFound(format!("service {service}")));
             }
         }
         let request = |seen| {
@@ -452,7 +455,7 @@
         let (started_at, deadline) = (Instant::now(), Instant::now() + timeout);
         let seen = shared.borrow().view.index;
         let answer = Core::submit(shared, request(seen), timeout).await;
-        if answer != Answer::Outdated {
+        if answer != Answer::Superseded {
             return answer;
         }
         let Some(remaining) = FENCE_REFRESH_WINDOW.checked_sub(started_at.elapsed()) else { return answer };
@@ -466,14 +469,14 @@
 
     /// Waits until everything that was acknowledged before this call is applied here. Returns the index of
     /// the last such entry.
-    pub async fn read_barrier(shared: &SharedCore, timeout: Duration) -> Result<u64, Kind> {
+    pub async fn read_barrier(shared: &SharedCore, timeout: Duration) -> Result<u64, ErrorKind> {
         let deadline = Instant::now() + timeout;
-        let Answer::Done(index) = Core::submit(shared, CoreRequest::Read, timeout).await else {
-            return Err(Kind::NoLeader); // a read changes nothing, so an unknown outcome is no concern
+        let Answer::Done(index) = Core::submit(shared, CoreRequest::ReadIndex, timeout).await else {
+            return Err(ErrorKind::NoLeader); // a read changes nothing, so an unknown outcome is no concern
         };
         while shared.borrow().view.index < index {
             if Instant::now() >= deadline {
-                return Err(Kind::NoLeader);
+                return Err(ErrorKind::NoLeader);
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
--- a/crates/control-plane/src/core/rollouts.rs
+++ b/crates/control-plane/src/core/rollouts.rs
@@ -2,11 +2,11 @@
 
 use super::{Core, Millis, Trial};
 use milletwing_consensus::Role;
-use milletwing_replicated_state::{Command, RollOut, State};
+use milletwing_replicated_state::{Command, RollOut, RollOutState};
 use milletwing_sequential_test::{
     self as sequential_test, latest_advance, min_stage_duration, stage_cap, TrialReport, FINAL_STAGE,
 };
-use milletwing_wire::Peer;
+use milletwing_wire::PeerMessage;
 
 impl Core {
     /// Returns commands to advance, complete or revert the trials in progress.
@@ -16,7 +16,7 @@
             .view
             .rollouts
             .iter()
-            .filter(|(_, rollout)| rollout.state == State::Active)
+            .filter(|(_, rollout)| rollout.state == RollOutState::Active)
             .map(|(service, rollout)| (service.clone(), rollout.clone()))
             .collect();
         self.trials.retain(|number, _| active.iter().any(|(_, rollout)| rollout.number == *number));
@@ -76,7 +76,7 @@
     pub fn trials_json(&self) -> serde_json::Value {
         let rows = self.view.rollouts.iter().map(|(service, rollout)| {
             let trial = self.trials.get(&rollout.number).filter(|_| self.role == Role::Leader);
-            serde_json::json!({"service": service, "to": rollout.to, "state": rollout.state.word(), "stage": rollout.stage,
+            serde_json::json!({"service": service, "to": rollout.to, "state": rollout.state.as_str(), "stage": rollout.stage,
                 "cap": stage_cap(rollout.stage, self.settings.timers.guarantees.exposureShare),
                 "evidence": trial.map(|trial| trial.tally.summary())})
         });
@@ -84,16 +84,16 @@
     }
 
     /// Passes an edge's trial reports on to the leader.
-    pub fn on_trial_reports(&mut self, edge: u32, life: u64, reports: Vec<TrialReport>) {
+    pub fn on_trial_reports(&mut self, edge: u32, incarnation: u64, reports: Vec<TrialReport>) {
         let now = self.now();
         if self.role == Role::Leader {
             for report in reports {
                 if let Some(trial) = self.trials.get_mut(&report.number) {
-                    trial.tally.record_report(now, edge, life, report);
+                    trial.tally.record_report(now, edge, incarnation, report);
                 }
             }
         } else if let Some(leader) = self.leader {
-            self.send_to(leader, &Peer::Reports { edge, life, reports });
+            self.send_to(leader, &PeerMessage::Reports { edge, incarnation, reports });
         }
     }
 }
--- a/crates/control-plane/src/core/subscriptions.rs
+++ b/crates/control-plane/src/core/subscriptions.rs
@@ -3,7 +3,7 @@
 use super::{Core, EdgeFeed, EdgeFrame, Millis, FRESHNESS_MS};
 use milletwing_drift_detection::Step;
 use milletwing_replicated_state::EdgeStatus;
-use milletwing_wire::{frame, ToEdge};
+use milletwing_wire::{encode_frame, ToEdge};
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
@@ -13,18 +13,18 @@
         let (sender, queue) = mpsc::channel(256);
         self.last_id += 1;
         let (id, now) = (self.last_id, self.now());
-        self.drift.checker.attach(now, edge.id, edge.life);
+        self.drift.checker.attach(now, edge.id, edge.incarnation);
         self.feeds.insert(
             id,
             EdgeFeed {
                 edge: edge.id,
-                incarnation: edge.life,
+                incarnation: edge.incarnation,
                 sent_index: index,
                 applied_index: index,
                 sender,
             },
         );
-        self.registry.edge(now, edge, 0);
+        self.registry.record_edge(now, edge, 0);
         self.send_updates(id);
         (id, queue)
     }
@@ -65,10 +65,11 @@
                 .skip(from)
                 .map(|(at, bytes)| (*at, bytes.as_ref().clone()))
                 .collect();
-            Some(Rc::new(frame(&ToEdge::Entries(entries))))
+            Some(Rc::new(encode_frame(&ToEdge::Entries(entries))))
         } else {
             if self.full_state_frame.as_ref().is_none_or(|(at, _)| *at != index) {
-                self.full_state_frame = Some((index, Rc::new(frame(&ToEdge::Whole(self.view.packed())))));
+                self.full_state_frame =
+                    Some((index, Rc::new(encode_frame(&ToEdge::Snapshot(self.view.to_compressed())))));
             }
             None
         };
@@ -88,7 +89,7 @@
     pub(super) fn broadcast_status(&mut self, now: Millis) {
         let loads = self.host_loads.take_updates(now);
         self.drift.update_own_digest(now, &self.view);
-        let bytes = Rc::new(frame(&self.status_message(now, loads)));
+        let bytes = Rc::new(encode_frame(&self.status_message(now, loads)));
         for feed in self.feeds.values() {
             if feed.sender.capacity() == feed.sender.max_capacity() {
                 let _ = feed.sender.try_send((Some(now), Rc::clone(&bytes)));
@@ -102,16 +103,16 @@
         if cores.is_empty() {
             cores.push(self.settings.id());
         }
-        let fresh = self.member.has_recent_state(now, FRESHNESS_MS)
+        let leader_contact = self.member.has_recent_state(now, FRESHNESS_MS)
             && !self.member.has_lost_state()
             && !self.drift.is_outlier(now);
-        let edges = self.registry.ready(now).len() as u32;
-        ToEdge::Pulse { fresh, index: self.view.index, cores, edges, loads }
+        let edges = self.registry.ready_edges(now).len() as u32;
+        ToEdge::Heartbeat { leader_contact, index: self.view.index, cores, edges, loads }
     }
 
     /// Sends a committed repair step to an edge, if it is connected to this replica.
-    pub(super) fn send_repair_step(&mut self, edge: u32, life: u64, step: Step) {
-        let is_recipient = |feed: &EdgeFeed| (feed.edge, feed.incarnation) == (edge, life);
+    pub(super) fn send_repair_step(&mut self, edge: u32, incarnation: u64, step: Step) {
+        let is_recipient = |feed: &EdgeFeed| (feed.edge, feed.incarnation) == (edge, incarnation);
         let Some(id) = self.feeds.iter().find(|(_, feed)| is_recipient(feed)).map(|(id, _)| *id) else {
             return;
         };
@@ -120,13 +121,13 @@
             Step::Again => feed.sent_index = feed.applied_index.min(feed.sent_index),
             Step::Renew => {
                 feed.sent_index = self.view.index;
-                let full_state = ToEdge::Renew(self.view.packed());
-                if feed.sender.try_send((None, Rc::new(frame(&full_state)))).is_err() {
+                let full_state = ToEdge::Rebuild(self.view.to_compressed());
+                if feed.sender.try_send((None, Rc::new(encode_frame(&full_state)))).is_err() {
                     self.feeds.remove(&id); // the edge reads nothing: it will connect again
                 }
             }
             Step::Back | Step::Rest | Step::End => {
-                let _ = feed.sender.try_send((None, Rc::new(frame(&ToEdge::Repair(step)))));
+                let _ = feed.sender.try_send((None, Rc::new(encode_frame(&ToEdge::Repair(step)))));
                 // if this is lost, the next repair step comes in its place
             }
         }
--- a/crates/control-plane/src/disk.rs
+++ b/crates/control-plane/src/disk.rs
@@ -25,7 +25,7 @@
 /// Checks that the contents of a file are consistent, including the replicated state in it.
 fn check_contents(stored: &StoredState) -> Result<(), String> {
     let found = milletwing_consensus::inspect(stored)?;
-    View::unpacked(&found.data).map(drop)
+    View::from_compressed(&found.data).map(drop)
 }
 
 /// Opens this replica's file, retrying while the disk refuses. Without a `stateDir` the log is kept in
--- a/crates/control-plane/src/drift.rs
+++ b/crates/control-plane/src/drift.rs
@@ -4,7 +4,7 @@
 use milletwing_config::{event, Configuration};
 use milletwing_consensus::MemberId;
 use milletwing_drift_detection::{
-    Checker, Digest, Finding, Names, Order, Part, Reflection, Repairer, Sample,
+    Checker, Digest, Finding, LeafHashes, Part, RepairOrder, Repairer, Sample, TableDigest,
 };
 use milletwing_replicated_state::View;
 use milletwing_routing::expected_state;
@@ -78,20 +78,20 @@
 
     /// Computes this replica's own digest as of the last applied entry, unless it exists.
     pub fn update_own_digest(&mut self, now: Millis, view: &View) {
-        if view.index == 0 || self.checker.index() == Some(view.index) {
+        if view.index == 0 || self.checker.last_index() == Some(view.index) {
             return;
         }
         self.refresh_table(view);
         let mut digest = Digest::default();
         self.table.1.export_state(&mut digest);
         expected_state::export_shared(view, &mut digest);
-        self.checker.own(now, view.index, digest);
+        self.checker.record_core_digest(now, view.index, digest);
     }
 
     /// Returns the newest digest of this replica.
     pub fn newest_digest(&self) -> Option<(u64, Digest)> {
-        let index = self.checker.index()?;
-        self.checker.kept(index).map(|digest| (index, *digest))
+        let index = self.checker.last_index()?;
+        self.checker.core_digest(index).map(|digest| (index, *digest))
     }
 
     /// Checks an edge's heartbeat.
@@ -100,22 +100,22 @@
         now: Millis,
         view: &View,
         (edge, index): (u32, u64),
-        reflection: Option<Reflection>,
+        table_digest: Option<TableDigest>,
         sample: Option<Sample>,
         fresh: bool,
     ) -> Vec<Finding> {
         let mut findings = Vec::new();
-        findings.extend(self.checker.heard(now, edge, index, fresh));
-        if let Some(reflection) = &reflection {
-            let expected = self.checker.kept(reflection.index).copied().map(|mut expected| {
-                if reflection.index != view.index {
+        findings.extend(self.checker.record_heartbeat(now, edge, index, fresh));
+        if let Some(table_digest) = &table_digest {
+            let expected = self.checker.core_digest(table_digest.index).copied().map(|mut expected| {
+                if table_digest.index != view.index {
                     // What an edge may send to a cold marshal is known as of the last entry only.
-                    return expected.like(&reflection.digest, Part::Deals);
+                    return expected.with_part_of(&table_digest.digest, Part::Deals);
                 }
                 expected_state::export_cold_limits(view, edge, &mut expected);
                 expected
             });
-            findings.push(self.checker.check(now, edge, reflection, expected, fresh));
+            findings.push(self.checker.check(now, edge, table_digest, expected, fresh));
         }
         if let Some(sample) = sample {
             // A decision made by a configuration other than the one in force here cannot be checked: it may
@@ -123,7 +123,7 @@
             let same_revision = sample.revision == view.revision;
             let found = if same_revision { self.check_decision(view, &sample) } else { None };
             if let Some(contradiction) = &found {
-                findings.push(Finding::Contradicts(contradiction.clone()));
+                findings.push(Finding::Contradiction(contradiction.clone()));
             }
             let result =
                 found
@@ -163,26 +163,26 @@
     }
 
     /// Lists by name what differs between an edge's routing state and the committed state.
-    pub fn list_differences(&mut self, view: &View, edge: u32, names: &Names) -> Vec<String> {
+    pub fn list_differences(&mut self, view: &View, edge: u32, names: &LeafHashes) -> Vec<String> {
         self.refresh_table(view);
-        let mut expected = Names::default();
+        let mut expected = LeafHashes::default();
         self.table.1.export_state(&mut expected);
         expected_state::export_shared(view, &mut expected);
         expected_state::export_cold_limits(view, edge, &mut expected);
-        expected.against(names, MAX_LISTED_DIFFERENCES)
+        expected.differences(names, MAX_LISTED_DIFFERENCES)
     }
 
     /// Returns the leader's next repairs. Logs edges that drift and edges that have recovered.
-    pub fn next_repairs(&mut self, now: Millis, ready: &[(u32, String)]) -> Vec<Order> {
-        let orders = self.repairer.step(now, ready);
+    pub fn next_repairs(&mut self, now: Millis, ready: &[(u32, String)]) -> Vec<RepairOrder> {
+        let orders = self.repairer.next_orders(now, ready);
         let mut drifted = BTreeSet::new();
         for (edge, standing) in self.repairer.edges() {
             if standing.since.is_none() {
                 continue;
             }
             drifted.insert(edge);
-            let description = standing.finding.word();
-            if standing.finding.drift() && self.logged_findings.get(&edge) != Some(&description) {
+            let description = standing.finding.describe();
+            if standing.finding.is_drift() && self.logged_findings.get(&edge) != Some(&description) {
                 event!(Drifted, "{} in {}: {description}", Ipv4Addr::from_bits(edge), standing.zone);
                 self.logged_findings.insert(edge, description);
             }
@@ -194,18 +194,18 @@
             }
             is_drifted
         });
-        if self.repairer.alarm && !self.alarm_logged {
+        if self.repairer.most_drifted && !self.alarm_logged {
             event!(AllDrift, "{} edges", drifted.len());
         }
-        self.alarm_logged = self.repairer.alarm;
+        self.alarm_logged = self.repairer.most_drifted;
         orders
     }
 
     /// Records another replica's digest as of an entry. Returns whether that replica has only now begun to
     /// differ from this one.
     pub fn record_digest(&mut self, now: Millis, from: MemberId, index: u64, digest: &Digest) -> bool {
-        let Some(own) = self.checker.kept(index) else { return false };
-        let same = own.differs(digest).is_empty();
+        let Some(own) = self.checker.core_digest(index) else { return false };
+        let same = own.differing_parts(digest).is_empty();
         let before = self.digest_matches.insert(from, (now, same));
         !same && before.is_none_or(|(_, same)| same)
     }
@@ -226,16 +226,16 @@
             let standing = known.get(edge);
             let found = standing.filter(|it| now.saturating_sub(it.at) < 4_000 && *silent < 4_000);
             // An edge that is out of touch is unknown, not healthy.
-            let state = found.map_or("unknown".to_owned(), |it| it.finding.word());
+            let state = found.map_or("unknown".to_owned(), |it| it.finding.describe());
             json!({"edge": Ipv4Addr::from_bits(*edge).to_string(), "zone": zone, "state": state, "silentMs": silent,
                 "driftedMs": standing.and_then(|it| it.since).map(|since| now.saturating_sub(since)),
-                "step": standing.and_then(|it| it.step).map(|(step, _)| step.word())})
+                "step": standing.and_then(|it| it.step).map(|(step, _)| step.as_str())})
         });
         let repairs = view.repairs.iter().map(|repair| {
-            json!({"entry": repair.index, "edge": Ipv4Addr::from_bits(repair.edge).to_string(), "step": repair.step.word(),
+            json!({"entry": repair.index, "edge": Ipv4Addr::from_bits(repair.edge).to_string(), "step": repair.step.as_str(),
                 "why": repair.why})
         });
-        json!({"edges": edges.collect::<Vec<_>>(), "repairs": repairs.collect::<Vec<_>>(), "allInDoubt": self.repairer.alarm,
+        json!({"edges": edges.collect::<Vec<_>>(), "repairs": repairs.collect::<Vec<_>>(), "allInDoubt": self.repairer.most_drifted,
             "digestsChecked": self.checker.checked, "digestsThatDiffered": self.checker.differed,
             "decisionsChecked": self.decision_counts.0, "decisionsThatDiffered": self.decision_counts.1})
     }
--- a/crates/control-plane/src/feeds.rs
+++ b/crates/control-plane/src/feeds.rs
@@ -23,12 +23,12 @@
     let reader_core = Rc::clone(&core);
     let reader = tokio::task::spawn_local(async move {
         while let Ok(Ok(message)) =
-            tokio::time::timeout(Duration::from_secs(3), wire::read::<FromEdge>(&mut read)).await
+            tokio::time::timeout(Duration::from_secs(3), wire::read_frame::<FromEdge>(&mut read)).await
         {
             let core = &mut *reader_core.borrow_mut();
             match message {
-                FromEdge::Beat(report) => core.on_edge_report(id, *report),
-                FromEdge::Names(names) => core.on_edge_names(id, &names),
+                FromEdge::Report(report) => core.on_edge_report(id, *report),
+                FromEdge::LeafHashes(names) => core.on_edge_names(id, &names),
             }
         }
         reader_core.borrow_mut().detach_edge(id);
@@ -38,7 +38,7 @@
         if made_at.is_some_and(|made_at| core.borrow().now() > made_at + MAX_STATUS_AGE_MS) {
             continue;
         }
-        if !core.borrow().is_attached(id) || wire::write(&mut write, &bytes).await.is_err() {
+        if !core.borrow().is_attached(id) || wire::write_frame(&mut write, &bytes).await.is_err() {
             break;
         }
     }
--- a/crates/control-plane/src/forwarded_calls.rs
+++ b/crates/control-plane/src/forwarded_calls.rs
@@ -33,13 +33,13 @@
         self.last_number += 1;
         let (answer, receiver) = oneshot::channel();
         self.pending.insert(self.last_number, PendingCall { replica, answer });
-        (CallId { life: self.incarnation, number: self.last_number }, receiver)
+        (CallId { incarnation: self.incarnation, number: self.last_number }, receiver)
     }
 
     /// Delivers an answer. Returns false if no call of this incarnation waits for an answer from that
     /// replica.
     pub fn deliver(&mut self, from: MemberId, call: CallId, answer: Answer) -> bool {
-        if call.life != self.incarnation
+        if call.incarnation != self.incarnation
             || self.pending.get(&call.number).is_none_or(|pending| pending.replica != from)
         {
             return false;
--- a/crates/control-plane/src/http_api.rs
+++ b/crates/control-plane/src/http_api.rs
@@ -9,8 +9,8 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use milletwing_config::{event, Configuration, Kind};
-use milletwing_replicated_state::view::MOST_BODY;
+use milletwing_config::{event, Configuration, ErrorKind};
+use milletwing_replicated_state::view::MAX_CONFIGURATION_BYTES;
 use milletwing_replicated_state::Beat;
 use milletwing_wire::{Answer, CoreRequest};
 use serde::Deserialize;
@@ -84,7 +84,7 @@
                 continue;
             }
         };
-        let _ = milletwing_wire::groom(&stream, Duration::from_secs(5));
+        let _ = milletwing_wire::configure_stream(&stream, Duration::from_secs(5));
         let (core, open_connections) = (Rc::clone(&core), Rc::clone(&open_connections));
         open_connections.count.set(open_connections.count() + 1);
         tokio::task::spawn_local(async move {
@@ -128,8 +128,8 @@
 }
 
 /// The response to an error.
-fn response_for_kind(kind: &Kind) -> JsonResponse {
-    error_response(kind.answer().status, &kind.to_string())
+fn response_for_kind(kind: &ErrorKind) -> JsonResponse {
+    error_response(kind.response().status, &kind.to_string())
 }
 
 /// Maps the outcome of a request to its HTTP response.
@@ -137,25 +137,25 @@
     match answer {
         Answer::Done(_) => json_response(200, "{}"),
         Answer::Refused(status, why) => error_response(status, &why),
-        Answer::Unsure => response_for_kind(&Kind::Uncertain),
-        Answer::NotTaken => response_for_kind(&Kind::NoLeader),
-        Answer::Outdated => response_for_kind(&Kind::Outdated),
+        Answer::Unknown => response_for_kind(&ErrorKind::OutcomeUnknown),
+        Answer::NotAccepted => response_for_kind(&ErrorKind::NoLeader),
+        Answer::Superseded => response_for_kind(&ErrorKind::Superseded),
     }
 }
 
-async fn read_body(request: Request<Incoming>, max_bytes: usize) -> Result<Bytes, Kind> {
+async fn read_body(request: Request<Incoming>, max_bytes: usize) -> Result<Bytes, ErrorKind> {
     // A body whose declared length is too large is refused before it is read.
     if request.body().size_hint().lower() > max_bytes as u64 {
-        return Err(Kind::BodyTooLarge);
+        return Err(ErrorKind::BodyTooLarge);
     }
     let reading = Limited::new(request.into_body(), max_bytes).collect();
     let result = tokio::time::timeout(Duration::from_secs(5), reading).await;
     match result {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(problem)) if problem.is::<LengthLimitError>() => Err(Kind::BodyTooLarge),
-        Ok(Err(problem)) => Err(Kind::Unreadable(problem.to_string())),
+        Ok(Err(problem)) if problem.is::<LengthLimitError>() => Err(ErrorKind::BodyTooLarge),
+        Ok(Err(problem)) => Err(ErrorKind::Unreadable(problem.to_string())),
         // Not 400, after which the caller would not retry: a slow link is not the caller's fault.
-        Err(_) => Err(Kind::Slow),
+        Err(_) => Err(ErrorKind::BodyTimeout),
     }
 }
 
@@ -168,7 +168,9 @@
 /// Handles one HTTP request.
 async fn handle(core: SharedCore, request: Request<Incoming>) -> JsonResponse {
     let path = request.uri().path().to_owned();
-    let Some(rest) = path.strip_prefix("/milletwing/") else { return response_for_kind(&Kind::NoPath) };
+    let Some(rest) = path.strip_prefix("/milletwing/") else {
+        return response_for_kind(&ErrorKind::UnknownPath);
+    };
     let segments: Vec<&str> = rest.split('/').collect();
     let method = request.method().clone();
     let result = match (&method, segments.as_slice()) {
@@ -200,7 +202,7 @@
 }
 
 /// Distinguishes a path that exists with another method from an unknown path.
-fn route_error(segments: &[&str]) -> Kind {
+fn route_error(segments: &[&str]) -> ErrorKind {
     let matches = |path: &str| {
         let known: Vec<&str> = path.trim_start_matches("/milletwing/").split('/').collect();
         known.len() == segments.len()
@@ -210,21 +212,25 @@
                 .all(|(known, segment)| known == segment || (known.starts_with('{') && !segment.is_empty()))
     };
     if ROUTES.iter().any(|(_, path)| matches(path)) {
-        Kind::NoMethod
+        ErrorKind::MethodNotAllowed
     } else {
-        Kind::NoPath
+        ErrorKind::UnknownPath
     }
 }
 
-async fn heartbeat(core: &SharedCore, id: &str, request: Request<Incoming>) -> Result<JsonResponse, Kind> {
+async fn heartbeat(
+    core: &SharedCore,
+    id: &str,
+    request: Request<Incoming>,
+) -> Result<JsonResponse, ErrorKind> {
     if id.len() > 128 {
-        return Err(Kind::BadBeat("the id is over 128 bytes".into()));
+        return Err(ErrorKind::InvalidBeat("the id is over 128 bytes".into()));
     }
-    let beat = Beat::read(&read_body(request, 16 << 10).await?)?;
+    let beat = Beat::parse(&read_body(request, 16 << 10).await?)?;
     Ok(outcome_response(Core::heartbeat(core, id.into(), beat, ANSWER_TIMEOUT).await))
 }
 
-async fn deregister(core: &SharedCore, id: &str) -> Result<JsonResponse, Kind> {
+async fn deregister(core: &SharedCore, id: &str) -> Result<JsonResponse, ErrorKind> {
     Ok(outcome_response(Core::submit(core, CoreRequest::Leave { id: id.into() }, ANSWER_TIMEOUT).await))
 }
 
@@ -238,16 +244,16 @@
     json_response(200, json!({ "index": core.view.index, "nodes": nodes.collect::<Vec<_>>() }).to_string())
 }
 
-async fn configure(core: &SharedCore, request: Request<Incoming>) -> Result<JsonResponse, Kind> {
+async fn configure(core: &SharedCore, request: Request<Incoming>) -> Result<JsonResponse, ErrorKind> {
     let header = request.headers().get("if-match").and_then(|value| value.to_str().ok());
     let if_match: Option<u64> = header.and_then(|value| value.trim().trim_matches('"').parse().ok());
-    let body = read_body(request, MOST_BODY).await?;
+    let body = read_body(request, MAX_CONFIGURATION_BYTES).await?;
     let timeout = if body.len() > 64 << 10 { ANSWER_TIMEOUT_LARGE_BODY } else { ANSWER_TIMEOUT };
     let answer = Core::configure(core, if_match, &body, timeout).await;
     match &answer {
         Ok(Answer::Done(_)) => log_ignored_fields(&body),
         // Committed entries are logged when they are applied.
-        Ok(Answer::Refused(..) | Answer::NotTaken | Answer::Unsure | Answer::Outdated) => {}
+        Ok(Answer::Refused(..) | Answer::NotAccepted | Answer::Unknown | Answer::Superseded) => {}
         Err(kind) => event!(Refused, "configuration on {if_match:?}: {kind}"),
     }
     answer.map(outcome_response)
@@ -256,18 +262,18 @@
 /// Logs the fields of an accepted configuration that this version ignores.
 fn log_ignored_fields(body: &[u8]) {
     // Cannot fail: the body was parsed before it was accepted.
-    let fields = Configuration::passed_over(body).unwrap_or_default();
+    let fields = Configuration::ignored_fields(body).unwrap_or_default();
     if !fields.is_empty() {
         let fields: Vec<String> = fields.into_iter().collect();
         event!(PassedOver, "{}", fields.join(", "));
     }
 }
 
-async fn configuration(core: &SharedCore) -> Result<JsonResponse, Kind> {
+async fn configuration(core: &SharedCore) -> Result<JsonResponse, ErrorKind> {
     Core::read_barrier(core, ANSWER_TIMEOUT).await?;
     let core = core.borrow();
     if core.view.revision == 0 {
-        return Err(Kind::Unknown("configuration".into()));
+        return Err(ErrorKind::NotFound("configuration".into()));
     }
     Ok(json_response(200, core.view.body.as_ref().clone()))
 }
@@ -283,31 +289,37 @@
     period_s: f64,
 }
 
-async fn post_rollout(core: &SharedCore, request: Request<Incoming>) -> Result<JsonResponse, Kind> {
+async fn post_rollout(core: &SharedCore, request: Request<Incoming>) -> Result<JsonResponse, ErrorKind> {
     let body = read_body(request, 16 << 10).await?;
-    let order: Order = serde_json::from_slice(&body).map_err(|why| Kind::Unreadable(why.to_string()))?;
+    let order: Order = serde_json::from_slice(&body).map_err(|why| ErrorKind::Unreadable(why.to_string()))?;
     let period_ms = (order.period_s.clamp(0.0, 86_400.0) * 1000.0) as u64;
     Core::start_rollout(core, order.target, order.target_revision, period_ms, ANSWER_TIMEOUT)
         .await
         .map(outcome_response)
 }
 
-async fn get_rollout(core: &SharedCore, service: &str) -> Result<JsonResponse, Kind> {
+async fn get_rollout(core: &SharedCore, service: &str) -> Result<JsonResponse, ErrorKind> {
     Core::read_barrier(core, ANSWER_TIMEOUT).await?;
     let core = core.borrow();
-    let rollout =
-        core.view.rollouts.get(service).ok_or_else(|| Kind::Unknown(format!("roll-out of {service}")))?;
-    Ok(json_response(200, json!({ "state": rollout.state.word(), "targetRevision": rollout.to }).to_string()))
+    let rollout = core
+        .view
+        .rollouts
+        .get(service)
+        .ok_or_else(|| ErrorKind::NotFound(format!("roll-out of {service}")))?;
+    Ok(json_response(
+        200,
+        json!({ "state": rollout.state.as_str(), "targetRevision": rollout.to }).to_string(),
+    ))
 }
 
-async fn set_evacuation(core: &SharedCore, zone: &str, on: bool) -> Result<JsonResponse, Kind> {
+async fn set_evacuation(core: &SharedCore, zone: &str, on: bool) -> Result<JsonResponse, ErrorKind> {
     let known = {
         let core = core.borrow();
         core.settings.network.zones.contains_key(zone)
             || core.view.nodes.values().any(|node| node.zone == zone)
     };
     if !known {
-        return Err(Kind::Unknown(format!("zone {zone}")));
+        return Err(ErrorKind::NotFound(format!("zone {zone}")));
     }
     Ok(outcome_response(Core::set_evacuation(core, zone, on, ANSWER_TIMEOUT).await))
 }
@@ -330,7 +342,7 @@
     let leader = core.member.leader().filter(|leader| *leader != core.settings.id());
     match (leader, core.settings.binding("controlPlane")) {
         (Some(leader), Ok(own)) => {
-            let address = milletwing_wire::place(leader, own.port());
+            let address = milletwing_wire::internal_address(leader, own.port());
             let mut response = json_response(307, body.to_string());
             if let Ok(address) = HeaderValue::from_str(&format!("http://{address}/milletwing/{resource}")) {
                 response.headers_mut().insert(LOCATION, address);
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -51,7 +51,7 @@
         opened = disk::open(&settings) => opened?,
         _ = shutdown.as_mut() => return Ok(()),
     };
-    let internal = milletwing_wire::place(settings.id(), settings.network.internal_ports.0);
+    let internal = milletwing_wire::internal_address(settings.id(), settings.network.internal_ports.0);
     let internal = listen("internal", internal).await?;
     let control_plane = listen("controlPlane", settings.binding("controlPlane")?).await?;
     let directory = match settings.network.bindings.get("directoryPort") {
--- a/crates/control-plane/src/links.rs
+++ b/crates/control-plane/src/links.rs
@@ -3,7 +3,7 @@
 
 use crate::core::{Core, SharedCore};
 use milletwing_consensus::MemberId;
-use milletwing_wire::{self as wire, frame, Greeting, Peer};
+use milletwing_wire::{self as wire, encode_frame, Greeting, PeerMessage};
 use std::collections::HashSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -44,16 +44,16 @@
     let (mut queue, dialled_by_peer) = core.borrow_mut().open_link(to);
     loop {
         let dialled = tokio::select! {
-            dialled = wire::dial(wire::place(to, port), DIAL_TIMEOUT) => dialled,
+            dialled = wire::connect(wire::internal_address(to, port), DIAL_TIMEOUT) => dialled,
             // The replica has dialled this one: what was sent to it before it was powered on is lost.
             _ = dialled_by_peer.notified() => continue,
         };
         if let Ok(stream) = dialled {
-            let _ = wire::groom(&stream, DEAD_CONNECTION_TIMEOUT);
+            let _ = wire::configure_stream(&stream, DEAD_CONNECTION_TIMEOUT);
             let mut stream = BufWriter::new(stream);
-            if wire::write(&mut stream, &frame(&Greeting::Core(own_id))).await.is_ok() {
+            if wire::write_frame(&mut stream, &encode_frame(&Greeting::Core(own_id))).await.is_ok() {
                 while let Some(bytes) = queue.recv().await {
-                    if wire::write(&mut stream, &bytes).await.is_err() {
+                    if wire::write_frame(&mut stream, &bytes).await.is_err() {
                         break;
                     }
                 }
@@ -85,17 +85,17 @@
 
 /// Serves an accepted connection of a replica or an edge until it ends.
 async fn serve_connection(core: SharedCore, stream: TcpStream) -> Result<(), std::io::Error> {
-    wire::groom(&stream, DEAD_CONNECTION_TIMEOUT)?;
+    wire::configure_stream(&stream, DEAD_CONNECTION_TIMEOUT)?;
     let (read, write) = stream.into_split();
     let mut read = BufReader::with_capacity(4096, read);
-    let greeting = tokio::time::timeout(Duration::from_secs(2), wire::read(&mut read));
+    let greeting = tokio::time::timeout(Duration::from_secs(2), wire::read_frame(&mut read));
     match greeting.await.map_err(|_| std::io::ErrorKind::TimedOut)?? {
         Greeting::Core(id) => {
             let connection = core.borrow_mut().on_inbound_connection(id);
             // A replica that stops without closing the connection is detected by its silence: it normally
             // sends consensus heartbeats ten times a second or status gossip twice a second.
             while let Ok(message) =
-                tokio::time::timeout(Duration::from_secs(5), wire::read::<Peer>(&mut read)).await
+                tokio::time::timeout(Duration::from_secs(5), wire::read_frame::<PeerMessage>(&mut read)).await
             {
                 if !Core::on_peer_message(&core, id, connection, message?) {
                     break;
--- a/crates/control-plane/tests/bounds.rs
+++ b/crates/control-plane/tests/bounds.rs
@@ -7,7 +7,7 @@
 
 use milletwing_consensus::Role;
 use milletwing_control_plane::core::{Core, SharedCore};
-use milletwing_replicated_state::view::MOST_ADMITTED;
+use milletwing_replicated_state::view::MAX_ADMITTED_BYTES;
 use milletwing_replicated_state::{Beat, View};
 use milletwing_wire::Answer;
 use simulation::{ms, SharedSimulation, Simulation, REPLICAS};
@@ -39,13 +39,13 @@
         r#"{{"target":"s","address":"{address}","zone":"a","revision":"{}","capacity":4,"state":"available","callCounter":1}}"#,
         "v".repeat(size)
     );
-    Beat::read(body.as_bytes()).unwrap()
+    Beat::parse(body.as_bytes()).unwrap()
 }
 
 #[test]
 fn a_state_that_no_replica_could_read_is_refused_before_it_is_proposed() {
     // Two such marshals are beyond the limit, as is one with a configuration of some megabytes.
-    const SIZE: usize = MOST_ADMITTED * 2 / 5;
+    const SIZE: usize = MAX_ADMITTED_BYTES * 2 / 5;
     run(async {
         let simulation = Simulation::new(7);
         (1..=REPLICAS).for_each(|number| simulation.start(number));
@@ -60,13 +60,16 @@
         let text =
             format!(r#"{{"revision":1,"routing":{{}},"targets":{{}},"note":"{}"}}"#, "x".repeat(3 << 20));
         let refusal = Core::configure(&core, Some(0), text.as_bytes(), ms(3_000)).await.unwrap_err();
-        assert_eq!(refusal.answer().status, 413);
+        assert_eq!(refusal.response().status, 413);
         // A small configuration still fits, and every replica can read the resulting state.
         let small = br#"{"revision":1,"routing":{},"targets":{}}"#;
         let accepted = Core::configure(&core, Some(0), small, ms(3_000)).await.unwrap();
         assert!(matches!(accepted, Answer::Done(_)), "{accepted:?}");
         let view = core.borrow().view.clone();
-        assert!(View::unpacked(&view.packed()).is_ok());
-        assert!(view.weight() >= view.bytes().len(), "the weight is not an upper bound of the bytes");
+        assert!(View::from_compressed(&view.to_compressed()).is_ok());
+        assert!(
+            view.max_encoded_size() >= view.to_bytes().len(),
+            "the weight is not an upper bound of the bytes"
+        );
     });
 }
--- a/crates/control-plane/tests/catch_up.rs
+++ b/crates/control-plane/tests/catch_up.rs
@@ -58,7 +58,7 @@
         sleep(ms(5)).await;
         assert!(started_at.elapsed() < ms(120_000), "the replica never catches up");
     }
-    let state = simulation.core(3).map_or(0, |core| core.borrow().view.packed().len());
+    let state = simulation.core(3).map_or(0, |core| core.borrow().view.to_compressed().len());
     (started_at.elapsed().as_millis() as u64, state as u64)
 }
 
--- a/crates/control-plane/tests/control.rs
+++ b/crates/control-plane/tests/control.rs
@@ -14,7 +14,7 @@
 use history::{History, Outcome};
 use milletwing_consensus::Role;
 use milletwing_control_plane::core::Core;
-use milletwing_replicated_state::view::digest;
+use milletwing_replicated_state::view::configuration_digest;
 use simulation::{ms, SharedSimulation, Simulation, REPLICAS};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -128,7 +128,9 @@
     let core = core.borrow();
     assert_eq!(core.view.evacuated.len(), 0, "a zone is still evacuated after its evacuation was ended");
     let history: &History = &callers.history.borrow();
-    history.assert_linearizable(|version| core.view.took(version.0, &digest(&body(*version))));
+    history.assert_linearizable(|version| {
+        core.view.has_accepted(version.0, &configuration_digest(&body(*version)))
+    });
     let last =
         history.changes.iter().filter(|it| it.outcome == Outcome::Acknowledged).map(|it| it.version.0).max();
     assert!(version(&core.view).map_or(0, |version| version.0) >= last.unwrap_or(0));
--- a/crates/control-plane/tests/control/simulation.rs
+++ b/crates/control-plane/tests/control/simulation.rs
@@ -6,7 +6,7 @@
 use milletwing_consensus::Batch;
 use milletwing_control_plane::core::{run_clock, Core, LogStorage, SharedCore};
 use milletwing_storage::LogStore;
-use milletwing_wire::{self as wire, Peer};
+use milletwing_wire::{self as wire, PeerMessage};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -39,7 +39,7 @@
          [network]\ninternalPorts = [7540, 7555]\nseedList = [{}]\n[network.zones]\na = \"north\"\nb = \"north\"\n",
         seeds.join(", ")
     );
-    Settings::read(&text).unwrap()
+    Settings::parse(&text).unwrap()
 }
 
 /// A running process of a replica.
@@ -178,7 +178,7 @@
                     None if is_running => receiver.borrow_mut().on_inbound_connection(id(from)),
                     None => continue,
                 };
-                let message = wire::read::<Peer>(&mut bytes.as_slice()).await.unwrap();
+                let message = wire::read_frame::<PeerMessage>(&mut bytes.as_slice()).await.unwrap();
                 let current = Core::on_peer_message(&receiver, id(from), connection, message);
                 connected = current.then_some((receiver, connection));
             }
--- a/crates/control-plane/tests/detection.rs
+++ b/crates/control-plane/tests/detection.rs
@@ -80,7 +80,7 @@
 
 fn marshal() -> Beat {
     let text = br#"{"target":"s","address":"10.1.0.1:80","zone":"a","revision":"v1","capacity":4,"state":"available","callCounter":1}"#;
-    Beat::read(text).unwrap()
+    Beat::parse(text).unwrap()
 }
 
 #[test]
@@ -103,7 +103,7 @@
             simulation.cut(follower, true);
             sleep(ms(BOUND)).await;
             let cut = Core::heartbeat(&core, "i-1".into(), marshal(), ms(100)).await;
-            assert_eq!(cut, Answer::NotTaken, "seed {seed}");
+            assert_eq!(cut, Answer::NotAccepted, "seed {seed}");
         });
     }
 }
@@ -122,7 +122,7 @@
                 region: "north".into(),
                 ingress: "10.2.0.9:80".parse().unwrap(),
                 ready: true,
-                life: 1,
+                incarnation: 1,
             };
             let (_, mut updates) = core.borrow_mut().attach_edge(edge, 0);
             let mut freshness = Vec::new();
@@ -134,10 +134,10 @@
                     cut = Some(Instant::now());
                 }
                 let Some((_, bytes)) = updates.recv().await else { break };
-                if let ToEdge::Pulse { fresh, .. } =
-                    wire::read::<ToEdge>(&mut bytes.as_slice()).await.unwrap()
+                if let ToEdge::Heartbeat { leader_contact, .. } =
+                    wire::read_frame::<ToEdge>(&mut bytes.as_slice()).await.unwrap()
                 {
-                    freshness.push(fresh);
+                    freshness.push(leader_contact);
                 }
             }
             let elapsed_ms = cut.expect("the updates ended before the cut").elapsed();
@@ -164,7 +164,7 @@
                 region: "north".into(),
                 ingress: format!("10.2.0.{id}:80").parse().unwrap(),
                 ready: true,
-                life: 1,
+                incarnation: 1,
             };
             let is_resolved = |replica: u32, id: u32| {
                 let core = simulation.core(replica).unwrap();
@@ -176,7 +176,7 @@
                 let core = simulation.core(leader).unwrap();
                 let core = &mut *core.borrow_mut();
                 let now = core.now();
-                core.registry.edge(now, edge(id), 0);
+                core.registry.record_edge(now, edge(id), 0);
             };
             for _ in 0..8 {
                 report(8);
@@ -256,7 +256,7 @@
             simulation.stall_disk(leader, ms(6_000), false);
             let proposing_core = std::rc::Rc::clone(&core);
             let body = br#"{"revision":1,"routing":{},"targets":{}}"#;
-            assert!(Configuration::read(body).is_ok());
+            assert!(Configuration::parse(body).is_ok());
             tokio::task::spawn_local(async move {
                 let _ = Core::configure(&proposing_core, Some(0), body, ms(900)).await;
                 // The next leader may have the entry or not.
--- a/crates/control-plane/tests/directory.rs
+++ b/crates/control-plane/tests/directory.rs
@@ -21,7 +21,7 @@
         region: region.into(),
         ingress: format!("10.2.0.{number}:80").parse().unwrap(),
         ready,
-        life: 1,
+        incarnation: 1,
     }
 }
 
@@ -29,13 +29,13 @@
 async fn without_local_edges_a_client_is_sent_to_serving_regions() {
     let (sender, _batches) = std::sync::mpsc::sync_channel(1);
     let storage = LogStorage { stored: Default::default(), sender };
-    let core = Core::start(Settings::read(SETTINGS).unwrap(), storage, 1).unwrap();
+    let core = Core::start(Settings::parse(SETTINGS).unwrap(), storage, 1).unwrap();
     let core = &mut *core.borrow_mut();
-    let command = View::default().to_configure(1, BODY.as_bytes()).unwrap();
+    let command = View::default().configure_command(1, BODY.as_bytes()).unwrap();
     core.view.apply(1, &command);
     let now = core.now();
     for (number, region, ready) in [(1, "north", false), (2, "south", true), (3, "west", true)] {
-        core.registry.edge(now, edge(number, region, ready), 0);
+        core.registry.record_edge(now, edge(number, region, ready), 0);
     }
     let resolved = |core: &Core, host: &str, region: &str| -> Vec<u8> {
         core.resolve(host, region).edges.iter().map(|edge| edge.ip().octets()[3]).collect()
@@ -54,7 +54,7 @@
     assert_eq!(resolved(core, "g.example", "east"), [2, 3], "also for a client of a region without edges");
     // No edge in a serving region is left: the client gets the draining one of its own region, for a short
     // time.
-    core.registry.edge(now + 1, edge(2, "south", false), 0);
+    core.registry.record_edge(now + 1, edge(2, "south", false), 0);
     assert_eq!(resolved(core, "h.example", "north"), [1]);
     assert!(core.resolve("h.example", "north").ttl_s <= 1.0);
     assert_eq!(resolved(core, "h.example", "east"), [3]);
--- a/crates/control-plane/tests/forwarded_calls.rs
+++ b/crates/control-plane/tests/forwarded_calls.rs
@@ -3,7 +3,7 @@
 use milletwing_config::Settings;
 use milletwing_control_plane::core::{Core, LogStorage};
 use milletwing_control_plane::forwarded_calls::ForwardedCalls;
-use milletwing_wire::{Answer, Peer};
+use milletwing_wire::{Answer, PeerMessage};
 
 const LEADER: u32 = 1;
 const OTHER: u32 = 2;
@@ -45,13 +45,13 @@
         [network]\ninternalPorts = [7540, 7555]\nseedList = [\"10.0.0.1:8544\", \"10.0.0.2:8544\"]\n";
     let (sender, _batches) = std::sync::mpsc::sync_channel(1);
     let storage = LogStorage { stored: Default::default(), sender };
-    let core = Core::start(Settings::read(text).unwrap(), storage, 1).unwrap();
+    let core = Core::start(Settings::parse(text).unwrap(), storage, 1).unwrap();
     let earlier_connection = core.borrow_mut().on_inbound_connection(OTHER);
-    assert!(Core::on_peer_message(&core, OTHER, earlier_connection, Peer::Join));
+    assert!(Core::on_peer_message(&core, OTHER, earlier_connection, PeerMessage::Join));
     let newer_connection = core.borrow_mut().on_inbound_connection(OTHER);
     assert!(
-        !Core::on_peer_message(&core, OTHER, earlier_connection, Peer::Join),
+        !Core::on_peer_message(&core, OTHER, earlier_connection, PeerMessage::Join),
         "a message of an earlier incarnation was handled"
     );
-    assert!(Core::on_peer_message(&core, OTHER, newer_connection, Peer::Join));
+    assert!(Core::on_peer_message(&core, OTHER, newer_connection, PeerMessage::Join));
 }
--- a/crates/control-plane/tests/power_loss.rs
+++ b/crates/control-plane/tests/power_loss.rs
@@ -8,7 +8,7 @@
 
 use milletwing_consensus::Role;
 use milletwing_control_plane::core::{Core, SharedCore};
-use milletwing_replicated_state::{Beat, State, View};
+use milletwing_replicated_state::{Beat, RollOutState, View};
 use milletwing_wire::{Answer, CoreRequest};
 use simulation::{ms, SharedSimulation, Simulation, REPLICAS};
 use std::future::Future;
@@ -37,7 +37,7 @@
     let text = format!(
         r#"{{"target":"s","address":"10.1.0.1:80","zone":"b","revision":"v1","capacity":4,"state":"{state}","callCounter":{counter}}}"#
     );
-    Beat::read(text.as_bytes()).unwrap()
+    Beat::parse(text.as_bytes()).unwrap()
 }
 
 impl Request {
@@ -45,11 +45,11 @@
         let timeout = ms(900);
         match self {
             Request::Configuration => {
-                Core::configure(core, Some(1), NEXT_BODY, timeout).await.unwrap_or(Answer::Unsure)
+                Core::configure(core, Some(1), NEXT_BODY, timeout).await.unwrap_or(Answer::Unknown)
             }
             Request::RollOut => {
                 let answer = Core::start_rollout(core, "s".into(), "v2".into(), 60_000, timeout).await;
-                answer.unwrap_or(Answer::Unsure)
+                answer.unwrap_or(Answer::Unknown)
             }
             Request::Evacuation => Core::set_evacuation(core, "b", true, timeout).await,
             Request::EvacuationEnd => Core::set_evacuation(core, "b", false, timeout).await,
@@ -63,11 +63,11 @@
         match self {
             Request::Configuration => view.revision == 2,
             Request::RollOut => {
-                view.rollouts.get("s").is_some_and(|it| it.to == "v2" && it.state == State::Active)
+                view.rollouts.get("s").is_some_and(|it| it.to == "v2" && it.state == RollOutState::Active)
             }
             Request::Evacuation => view.evacuated.contains_key("b"),
             Request::EvacuationEnd => !view.evacuated.contains_key("b"),
-            Request::Drain => view.knows_that_it_leaves("i-1"),
+            Request::Drain => view.is_leaving("i-1"),
             Request::Departure => view.has_left("i-1") && !view.nodes.contains_key("i-1"),
         }
     }
@@ -121,7 +121,7 @@
             wait_for_leader(&simulation).await;
             let core = simulation.core(acknowledged_by).unwrap();
             repeat_until_acknowledged(&core, async || {
-                Core::configure(&core, Some(0), BODY, ms(900)).await.unwrap_or(Answer::Unsure)
+                Core::configure(&core, Some(0), BODY, ms(900)).await.unwrap_or(Answer::Unknown)
             })
             .await;
             repeat_until_acknowledged(&core, async || {
@@ -140,7 +140,7 @@
             for (replica, core) in simulation.cores() {
                 repeat_until_acknowledged(&core, async || match Core::read_barrier(&core, ms(900)).await {
                     Ok(index) => Answer::Done(index),
-                    Err(_) => Answer::Unsure,
+                    Err(_) => Answer::Unknown,
                 })
                 .await;
                 let is_in_force = request.is_in_force(&core.borrow().view);
--- a/crates/edge-proxy/src/core_feed.rs
+++ b/crates/edge-proxy/src/core_feed.rs
@@ -4,9 +4,9 @@
 
 use crate::edge::Edge;
 use milletwing_config::event;
-use milletwing_drift_detection::Names;
+use milletwing_drift_detection::LeafHashes;
 use milletwing_replicated_state::{Command, View};
-use milletwing_wire::{self as wire, frame, place, EdgeReport, FromEdge, Greeting, ToEdge};
+use milletwing_wire::{self as wire, encode_frame, internal_address, EdgeReport, FromEdge, Greeting, ToEdge};
 use std::cell::Cell;
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
@@ -58,7 +58,7 @@
         {
             let (reader, writer) = stream.into_split();
             let reason = listen(&edge, reader, writer, &mut cores).await;
-            event!(FeedLost, "{}: {reason}", place(id, port));
+            event!(FeedLost, "{}: {reason}", internal_address(id, port));
             recently_left.push((id, Instant::now() + Duration::from_secs(2)));
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -69,8 +69,8 @@
 async fn connect_first(known: &[u32], port: u16) -> Option<(u32, TcpStream)> {
     let mut connecting = JoinSet::new();
     for id in known.iter().copied() {
-        let address: SocketAddrV4 = place(id, port);
-        connecting.spawn_local(async move { (id, wire::dial(address, Duration::from_millis(600)).await) });
+        let address: SocketAddrV4 = internal_address(id, port);
+        connecting.spawn_local(async move { (id, wire::connect(address, Duration::from_millis(600)).await) });
     }
     while let Some(connected) = connecting.join_next().await {
         if let Ok((id, Ok(stream))) = connected {
@@ -92,7 +92,7 @@
     let mut reader =
         BufReader::with_capacity(4096, ActivityReader { reader, received: Rc::clone(&received) });
     let greeting = Greeting::Edge(edge.status(), edge.view.borrow().index);
-    if let Err(error) = writer.write_all(&frame(&greeting)).await {
+    if let Err(error) = writer.write_all(&encode_frame(&greeting)).await {
         return error.to_string();
     }
     let reporter = Rc::clone(edge);
@@ -107,20 +107,21 @@
             let observed = reporter.router.borrow_mut().take_observations(MAX_OBSERVATIONS_PER_REPORT);
             has_trial_reports = !reports.is_empty();
             // Without updates, every second report is enough to show that the edge is alive.
-            let reflection = reporter.pending_digest.take();
+            let table_digest = reporter.pending_digest.take();
             let sample = reporter.router.borrow_mut().take_sample();
-            let has_updates = !observed.is_empty() || reflection.is_some() || reporter.names_requested.get();
+            let has_updates =
+                !observed.is_empty() || table_digest.is_some() || reporter.names_requested.get();
             idle_rounds = if changed || has_trial_reports || has_updates { 0 } else { idle_rounds + 1 };
             if idle_rounds % 2 == 1 {
                 continue;
             }
             let (edge, index) = (reporter.status(), reporter.view.borrow().index);
-            let report = EdgeReport { edge, index, reports, observed, reflection, sample };
-            let mut bytes = frame(&FromEdge::Beat(Box::new(report)));
+            let report = EdgeReport { edge, index, reports, observed, table_digest, sample };
+            let mut bytes = encode_frame(&FromEdge::Report(Box::new(report)));
             if reporter.names_requested.replace(false) {
-                let mut names = Names::default();
+                let mut names = LeafHashes::default();
                 reporter.router.borrow().export_state(&mut names);
-                bytes.extend(frame(&FromEdge::Names(names)));
+                bytes.extend(encode_frame(&FromEdge::LeafHashes(names)));
             }
             if writer.write_all(&bytes).await.is_err() {
                 return;
@@ -134,7 +135,7 @@
             // Bytes of the previous message must not count as activity: silence would be detected
             // only after a second timeout.
             received.set(false);
-            let mut next_message = std::pin::pin!(wire::read::<ToEdge>(&mut reader));
+            let mut next_message = std::pin::pin!(wire::read_frame::<ToEdge>(&mut reader));
             loop {
                 match tokio::time::timeout(SILENCE_TIMEOUT, next_message.as_mut()).await {
                     Ok(message) => break message.map_err(|error| error.to_string()),
@@ -149,11 +150,11 @@
             Err(error) => break error,
         };
         match message {
-            ToEdge::Whole(packed) => match View::unpacked(&packed) {
+            ToEdge::Snapshot(packed) => match View::from_compressed(&packed) {
                 Ok(view) => adopt_view(edge, view),
                 Err(error) => break error,
             },
-            ToEdge::Renew(packed) => match View::unpacked(&packed) {
+            ToEdge::Rebuild(packed) => match View::from_compressed(&packed) {
                 Ok(view) if view.index >= edge.view.borrow().index => {
                     *edge.view.borrow_mut() = view;
                     edge.rebuild();
@@ -162,13 +163,13 @@
                 Err(error) => break error,
             },
             ToEdge::Repair(step) => edge.apply_repair(step),
-            ToEdge::Names => edge.names_requested.set(true),
+            ToEdge::LeafHashes => edge.names_requested.set(true),
             ToEdge::Entries(entries) => {
                 if let Err(error) = apply_entries(edge, entries) {
                     break error;
                 }
             }
-            ToEdge::Pulse { fresh: hears_leader, index, cores: members, edges, loads } => {
+            ToEdge::Heartbeat { leader_contact: hears_leader, index, cores: members, edges, loads } => {
                 let lags = index < edge.view.borrow().index;
                 if !lags {
                     // Everything that edges receive up to this entry came earlier on this
@@ -239,7 +240,7 @@
         let view = &mut *edge.view.borrow_mut();
         for (index, bytes) in entries {
             if index > view.index {
-                view.apply(index, &Command::read(&bytes)?);
+                view.apply(index, &Command::from_bytes(&bytes)?);
             }
         }
     }
@@ -249,5 +250,5 @@
 
 /// Reloads the settings whenever their file changes.
 pub async fn watch_settings(edge: Rc<Edge>, path: PathBuf) {
-    wire::watch(path, |settings| *edge.settings.borrow_mut() = settings).await;
+    wire::watch_settings(path, |settings| *edge.settings.borrow_mut() = settings).await;
 }
--- a/crates/edge-proxy/src/edge.rs
+++ b/crates/edge-proxy/src/edge.rs
@@ -4,7 +4,7 @@
 use crate::metrics::Metrics;
 use crate::pool::{Connector, Pool};
 use milletwing_config::{event, Settings};
-use milletwing_drift_detection::{Digest, Reflection, Step};
+use milletwing_drift_detection::{Digest, Step, TableDigest};
 use milletwing_replicated_state::{EdgeStatus, View};
 use milletwing_routing::{Location, Router, Time};
 use std::cell::{Cell, RefCell};
@@ -50,7 +50,7 @@
     /// Notified when the core orders the process to shut down, to be restarted by the platform.
     pub restart_requested: Notify,
     /// The digest of the routing tables for the next report.
-    pub pending_digest: Cell<Option<Reflection>>,
+    pub pending_digest: Cell<Option<TableDigest>>,
     /// When the last digest was made.
     digest_made_at: Cell<Time>,
     /// Set when the core has requested the names that the digest is made of.
@@ -120,7 +120,7 @@
             region: settings.own.region.clone(),
             ingress: self.ingress,
             ready: self.ready(),
-            life: self.incarnation,
+            incarnation: self.incarnation,
         }
     }
 
@@ -159,13 +159,13 @@
         self.digest_made_at.set(now);
         let mut digest = Digest::default();
         self.router.borrow().export_state(&mut digest);
-        self.pending_digest.set(Some(Reflection { index: self.view.borrow().index, digest }));
+        self.pending_digest.set(Some(TableDigest { index: self.view.borrow().index, digest }));
     }
 
     /// Applies a repair step that the core has ordered because this edge had drifted from the
     /// agreed state.
     pub fn apply_repair(&self, step: Step) {
-        event!(Repairs, "{}", step.word());
+        event!(Repairs, "{}", step.as_str());
         match step {
             Step::Back | Step::Rest => {
                 self.quarantined.set(step == Step::Rest);
@@ -179,7 +179,7 @@
 
     /// Rebuilds all routing tables from a view that the core has sent in full.
     pub fn rebuild(&self) {
-        event!(Repairs, "{}", Step::Renew.word());
+        event!(Repairs, "{}", Step::Renew.as_str());
         self.router.borrow_mut().rebuild(self.now(), &self.view.borrow());
         self.digest_made_at.set(0);
         self.apply_view();
--- a/crates/edge-proxy/src/pool.rs
+++ b/crates/edge-proxy/src/pool.rs
@@ -80,7 +80,7 @@
 pub fn tcp_connector() -> Connector {
     Box::new(|address, unread| {
         Box::pin(async move {
-            let stream = milletwing_wire::dial(address, CONNECT_TIMEOUT).await?;
+            let stream = milletwing_wire::connect(address, CONNECT_TIMEOUT).await?;
             Ok(Box::new(AdaptiveTimeoutStream::new(stream, unread)?) as Box<dyn Transport>)
         })
     })
--- a/crates/edge-proxy/src/relay.rs
+++ b/crates/edge-proxy/src/relay.rs
@@ -14,8 +14,8 @@
 use hyper::header::{self, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
-use milletwing_config::configuration::Class;
-use milletwing_config::{event, Kind};
+use milletwing_config::configuration::TrafficClass;
+use milletwing_config::{event, ErrorKind};
 use milletwing_routing::table::Route;
 use milletwing_routing::{Attempt, AttemptOutcome, RequestHead, RoutedRequest};
 use std::rc::Rc;
@@ -65,19 +65,19 @@
 }
 
 struct Refusal {
-    kind: Kind,
+    kind: ErrorKind,
     id: String,
     route: Option<Rc<Route>>,
 }
 
-fn refusal_response(edge: &Edge, kind: &Kind, route: Option<&Route>) -> Response<ResponseBody> {
-    let reply = kind.answer();
+fn refusal_response(edge: &Edge, kind: &ErrorKind, route: Option<&Route>) -> Response<ResponseBody> {
+    let reply = kind.response();
     let mut response = Response::new(ResponseBody::Buffered(Some(Bytes::from(format!("{kind}\n")))));
     *response.status_mut() = StatusCode::from_u16(reply.status).unwrap_or_default();
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-    if reply.again {
-        let retry_elsewhere = matches!(kind, Kind::Leaving);
+    if reply.retryable {
+        let retry_elsewhere = matches!(kind, ErrorKind::ShuttingDown);
         let retry_after = if retry_elsewhere {
             RETRY_ELSEWHERE_S
         } else {
@@ -88,10 +88,10 @@
             headers.insert(header::RETRY_AFTER, retry_after);
         }
     }
-    if matches!(kind, Kind::UnknownKey) {
+    if matches!(kind, ErrorKind::Unauthorized) {
         headers.insert(header::WWW_AUTHENTICATE, HeaderValue::from_static(KEY_SCHEME));
     }
-    if matches!(kind, Kind::BadRequest(_) | Kind::BodyTooLarge | Kind::HeadTooLarge) {
+    if matches!(kind, ErrorKind::BadRequest(_) | ErrorKind::BodyTooLarge | ErrorKind::HeadTooLarge) {
         // The rest of this request cannot be told apart from what follows on the connection.
         headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
@@ -108,7 +108,7 @@
 }
 
 impl PreparedRequest {
-    fn refuse(&self, kind: Kind) -> Refusal {
+    fn refuse(&self, kind: ErrorKind) -> Refusal {
         Refusal { kind, id: self.id.clone(), route: Some(Rc::clone(&self.routed.route)) }
     }
 }
@@ -122,10 +122,10 @@
     let (mut parts, body) = request.into_parts();
     let id = parts.headers.get(ATTEMPT_ID).and_then(|id| id.to_str().ok()).unwrap_or("").to_owned();
     let refuse =
-        |kind: Kind, route: Option<&Rc<Route>>| Refusal { kind, id: id.clone(), route: route.cloned() };
+        |kind: ErrorKind, route: Option<&Rc<Route>>| Refusal { kind, id: id.clone(), route: route.cloned() };
     let max_body = check_request(edge, &parts, &body, exchange.state()).map_err(|kind| refuse(kind, None))?;
     if edge.requests.get() > MAX_REQUESTS {
-        return Err(refuse(Kind::Full, None));
+        return Err(refuse(ErrorKind::AtCapacity, None));
     }
     let host = parts.headers.get(header::HOST).and_then(|host| host.to_str().ok());
     let host = host.or(parts.uri.host()).unwrap_or("").to_owned();
@@ -158,14 +158,14 @@
     let reading = tokio::time::timeout_at(deadline, buffer_body(body));
     let read_body = match reading.await {
         Ok(Ok(read_body)) => read_body,
-        Ok(Err(_)) => return Err(refuse(Kind::BadRequest("the body broke off".into()), Some(route))),
-        Err(_) => return Err(refuse(Kind::Expired, Some(route))),
+        Ok(Err(_)) => return Err(refuse(ErrorKind::BadRequest("the body broke off".into()), Some(route))),
+        Err(_) => return Err(refuse(ErrorKind::DeadlineExceeded, Some(route))),
     };
     parts.headers.remove(header::CONTENT_LENGTH);
     parts.headers.remove(header::EXPECT);
     let buffered_bytes: u64 = read_body.buffered.iter().map(|bytes| bytes.len() as u64).sum();
     if buffered_bytes > max_body {
-        return Err(refuse(Kind::BodyTooLarge, Some(route)));
+        return Err(refuse(ErrorKind::BodyTooLarge, Some(route)));
     }
     let body = match read_body {
         BufferedBody { buffered, rest: None } => RequestBody::Buffered(concat(buffered)),
@@ -181,7 +181,7 @@
     edge: &Rc<Edge>,
     request: Request<Incoming>,
     exchange: &Rc<Exchange>,
-) -> Result<(Response<ResponseBody>, Class), Refusal> {
+) -> Result<(Response<ResponseBody>, TrafficClass), Refusal> {
     let mut prepared = prepare(edge, request, exchange).await?;
     let first = edge.router.borrow_mut().start_attempt(edge.now(), &mut prepared.routed);
     let first = first.map_err(|kind| prepared.refuse(kind))?;
@@ -195,7 +195,7 @@
             AttemptOutcome::NotSent,
             None,
         );
-        return Err(prepared.refuse(Kind::Leaving));
+        return Err(prepared.refuse(ErrorKind::ShuttingDown));
     }
     let request_info = [prepared.id.as_str(), prepared.host.as_str(), prepared.parts.uri.path()];
     edge.router.borrow_mut().record_sample(edge.now(), request_info, &prepared.routed, &first);
@@ -208,7 +208,7 @@
     edge: &Rc<Edge>,
     prepared: &mut PreparedRequest,
     first: Attempt,
-) -> Result<(Response<ResponseBody>, Class), Refusal> {
+) -> Result<(Response<ResponseBody>, TrafficClass), Refusal> {
     let (deadline, id) = (prepared.routed.deadline, prepared.id.clone());
     let mut deadline_timer = std::pin::pin!(tokio::time::sleep(time_left(edge, deadline)));
     let hedge_delay = edge.router.borrow().hedge_delay(&prepared.routed, &first);
@@ -223,7 +223,7 @@
             Some(finished) = running.next() => {
                 let (outcome, response) = record_outcome(edge, prepared, finished);
                 if outcome == AttemptOutcome::Served && response.is_some() {
-                    return final_response(edge, prepared, response, Kind::Broken);
+                    return final_response(edge, prepared, response, ErrorKind::MarshalDisconnected);
                 }
                 if prepared.body.can_send() && edge.router.borrow().may_retry(edge.now(), &prepared.routed, outcome) {
                     let next = edge.router.borrow_mut().start_attempt(edge.now(), &mut prepared.routed);
@@ -258,7 +258,7 @@
                     running.push(send(edge, &prepared.parts, &mut prepared.body, next, deadline, &id));
                 }
             }
-            _ = deadline_timer.as_mut() => return Err(prepared.refuse(Kind::Silent)),
+            _ = deadline_timer.as_mut() => return Err(prepared.refuse(ErrorKind::ResponseTimeout)),
         }
     }
 }
@@ -290,8 +290,8 @@
     edge: &Rc<Edge>,
     prepared: &PreparedRequest,
     response: Option<MarshalResponse>,
-    kind: Kind,
-) -> Result<(Response<ResponseBody>, Class), Refusal> {
+    kind: ErrorKind,
+) -> Result<(Response<ResponseBody>, TrafficClass), Refusal> {
     match response {
         Some(response) => {
             let route = &prepared.routed.route;
@@ -302,11 +302,11 @@
 }
 
 /// The reason given to the client when there is no response of a marshal.
-fn refusal_kind(routed: &RoutedRequest, outcome: AttemptOutcome) -> Kind {
+fn refusal_kind(routed: &RoutedRequest, outcome: AttemptOutcome) -> ErrorKind {
     match outcome {
-        AttemptOutcome::TimedOut => Kind::Silent,
-        _ if routed.may_have_run => Kind::Broken,
-        AttemptOutcome::Rejected | AttemptOutcome::WrongInstance => Kind::TurnedAway,
-        _ => Kind::NoMarshal,
+        AttemptOutcome::TimedOut => ErrorKind::ResponseTimeout,
+        _ if routed.may_have_run => ErrorKind::MarshalDisconnected,
+        AttemptOutcome::Rejected | AttemptOutcome::WrongInstance => ErrorKind::RejectedByMarshal,
+        _ => ErrorKind::NoReachableMarshal,
     }
 }
--- a/crates/edge-proxy/src/user_timeout.rs
+++ b/crates/edge-proxy/src/user_timeout.rs
@@ -7,7 +7,7 @@
 //! while everything that the peer may have left unread is certain to fit into its window. Beyond
 //! that, the timeout is the time allowed for the message being sent.
 
-use milletwing_wire::groom;
+use milletwing_wire::configure_stream;
 use std::cell::Cell;
 use std::pin::Pin;
 use std::rc::Rc;
@@ -92,14 +92,16 @@
     /// socket rejects one.
     pub fn new(stream: TcpStream, unread: Rc<UnreadTracker>) -> std::io::Result<AdaptiveTimeoutStream> {
         let timeout = unread.timeout();
-        groom(&stream, timeout)?;
+        configure_stream(&stream, timeout)?;
         Ok(AdaptiveTimeoutStream { stream, unread, timeout })
     }
 
     /// Sets the user timeout of the socket to the value that applies now.
     fn update_timeout(&mut self) {
         let timeout = self.unread.timeout();
-        if timeout != self.timeout && milletwing_wire::bound_unacknowledged(&self.stream, timeout).is_ok() {
+        if timeout != self.timeout
+            && milletwing_wire::set_unacknowledged_timeout(&self.stream, timeout).is_ok()
+        {
             self.timeout = timeout;
         }
     }
--- a/crates/edge-proxy/src/validation.rs
+++ b/crates/edge-proxy/src/validation.rs
@@ -7,7 +7,7 @@
 use hyper::header;
 use hyper::http::request::Parts;
 use hyper::{Method, Version};
-use milletwing_config::Kind;
+use milletwing_config::ErrorKind;
 
 /// Checks whether a request is valid and within the configured limits. Returns the largest body
 /// allowed.
@@ -16,8 +16,8 @@
     parts: &Parts,
     body: &Incoming,
     state: &ConnectionState,
-) -> Result<u64, Kind> {
-    let bad = |what: &str| Err(Kind::BadRequest(what.into()));
+) -> Result<u64, ErrorKind> {
+    let bad = |what: &str| Err(ErrorKind::BadRequest(what.into()));
     let Some(findings) = state.framing.borrow_mut().next_findings() else {
         return bad("what came before it has no end that can be told");
     };
@@ -46,11 +46,11 @@
     let head_bytes: usize =
         parts.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum();
     if max_head > 0 && (head_bytes + target_bytes + 16) as u64 > max_head {
-        return Err(Kind::HeadTooLarge);
+        return Err(ErrorKind::HeadTooLarge);
     }
     let max_body = if max_body > 0 { max_body } else { u64::MAX };
     if body.size_hint().lower() > max_body {
-        return Err(Kind::BodyTooLarge);
+        return Err(ErrorKind::BodyTooLarge);
     }
     Ok(max_body)
 }
