--- a/crates/control-plane/src/core.rs
+++ b/crates/control-plane/src/core.rs
@@ -47,8 +47,8 @@
 const EDGE_ARRIVAL_WINDOW_MS: Millis = 3_000;
 /// A write that takes longer counts as hanging: half of the time after which a silent leader is replaced.
 const WRITE_HANG_TIMEOUT_MS: Millis = 300;
-/// Milliseconds between two status broadcasts to edges.
-const STATUS_INTERVAL_MS: Millis = 200;
+/// Milliseconds between two heartbeats to edges.
+const HEARTBEAT_INTERVAL_MS: Millis = 200;
 /// Interval in milliseconds at which the full status of all edges is sent to the other replicas.
 const FULL_GOSSIP_INTERVAL_MS: Millis = 3_000;
 /// Maximum number of consensus members.
@@ -68,7 +68,7 @@
     tally: sequential_test::TrialTally,
 }
 
-/// A frame for an edge. A status broadcast carries the time when it was made.
+/// A frame for an edge. A heartbeat carries the time when it was made.
 pub type EdgeFrame = (Option<Millis>, Rc<Vec<u8>>);
 
 /// The connection of one edge.
@@ -145,7 +145,7 @@
     leader: Option<MemberId>,
     last_periodic_work: Millis,
     last_gossip: Millis,
-    last_status: Millis,
+    last_heartbeat: Millis,
     /// The newest loads of marshals.
     host_loads: LoadBoard,
     /// Evidence about hosts from the observations of all edges, weighed while this replica leads.
@@ -182,8 +182,9 @@
     reverted_at: BTreeMap<String, Millis>,
     /// When replicas asked to join.
     join_requests: BTreeMap<MemberId, Millis>,
-    /// The full state as sent to edges, as of an entry: encoded once for all edges that need it.
-    full_state_frame: Option<(u64, Rc<Vec<u8>>)>,
+    /// The snapshot of the state that is sent to edges, as of an entry: encoded once for all edges that need
+    /// it.
+    snapshot_frame: Option<(u64, Rc<Vec<u8>>)>,
 }
 
 impl Core {
@@ -241,7 +242,7 @@
             leader: None,
             last_periodic_work: 0,
             last_gossip: 0,
-            last_status: 0,
+            last_heartbeat: 0,
             drift: DriftMonitor::new(lag),
             host_loads: LoadBoard::default(),
             host_evidence: OutlierDetector::default(),
@@ -253,7 +254,7 @@
             logged_behind: None,
             logged_members: Vec::new(),
             trials: BTreeMap::new(),
-            full_state_frame: None,
+            snapshot_frame: None,
             join_requests: BTreeMap::new(),
             reverted_at: reverted,
             unmatched_since: BTreeMap::new(),
@@ -468,9 +469,9 @@
                 core.suspend_disk("a write takes too long");
             }
             core.member.tick(now);
-            if now >= core.last_status + STATUS_INTERVAL_MS {
-                core.last_status = now;
-                core.broadcast_status(now);
+            if now >= core.last_heartbeat + HEARTBEAT_INTERVAL_MS {
+                core.last_heartbeat = now;
+                core.broadcast_heartbeat(now);
             }
             if now >= core.last_periodic_work + 250 {
                 core.last_periodic_work = now;
--- a/crates/control-plane/src/core/edge_reports.rs
+++ b/crates/control-plane/src/core/edge_reports.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 impl Core {
-    /// Handles the heartbeat of an edge that is connected to this replica.
+    /// Handles the report of an edge that is connected to this replica.
     pub fn on_edge_report(&mut self, id: u64, report: EdgeReport) {
         let now = self.now();
         let EdgeReport { edge, index, reports, observed, table_digest, sample } = report;
@@ -23,7 +23,7 @@
         self.record_observations(now, &edge, observed);
         let fresh = self.member.has_recent_state(now, FRESHNESS_MS) && !self.member.has_lost_state();
         let findings =
-            self.drift.check_heartbeat(now, &self.view, (edge.id, index), table_digest, sample, fresh);
+            self.drift.check_report(now, &self.view, (edge.id, index), table_digest, sample, fresh);
         let (edge_id, incarnation) = (edge.id, edge.incarnation);
         self.registry.record_edge(now, edge, 0);
         for finding in findings {
@@ -39,9 +39,9 @@
 
     /// Compares the routing state that an edge listed by name with the committed state, and logs the
     /// differences for operators.
-    pub fn on_edge_names(&mut self, id: u64, names: &LeafHashes) {
+    pub fn on_leaf_hashes(&mut self, id: u64, hashes: &LeafHashes) {
         let Some(edge) = self.feeds.get(&id).map(|feed| feed.edge) else { return };
-        let differences = self.drift.list_differences(&self.view, edge, names);
+        let differences = self.drift.list_differences(&self.view, edge, hashes);
         if !differences.is_empty() {
             event!(Drifted, "{}: {}", std::net::Ipv4Addr::from_bits(edge), differences.join(", "));
         }
--- a/crates/control-plane/src/core/membership.rs
+++ b/crates/control-plane/src/core/membership.rs
@@ -72,7 +72,7 @@
     /// Decides whether a replica may stop. Returns none while the other replicas do not hold everything yet.
     pub(super) fn retire(&mut self, now: Millis, id: MemberId) -> Option<oneshot::Receiver<Answer>> {
         match self.member.retire(now, id)? {
-            Retirement::MayStop => self.execute_verdict(BeatAction::Acknowledge),
+            Retirement::MayStop => self.execute_beat_action(BeatAction::Acknowledge),
             Retirement::RemovedAt(index) => Some(self.wait_for_entry(self.member.term(), index)),
             Retirement::Wait => None,
         }
--- a/crates/control-plane/src/core/requests.rs
+++ b/crates/control-plane/src/core/requests.rs
@@ -139,18 +139,18 @@
         let now = self.now();
         match request {
             CoreRequest::Beat { id, beat } => {
-                let verdict = self.registry.handle_beat(now, &self.view, &id, &beat);
-                self.execute_verdict(verdict)
+                let action = self.registry.handle_beat(now, &self.view, &id, &beat);
+                self.execute_beat_action(action)
             }
             CoreRequest::Leave { id } => {
-                let verdict = self.registry.handle_leave(&self.view, &id);
-                self.execute_verdict(verdict)
+                let action = self.registry.handle_leave(&self.view, &id);
+                self.execute_beat_action(action)
             }
             CoreRequest::Configure(command) => self.propose(&command),
             CoreRequest::RollOut { service, revision, .. }
                 if self.was_just_reverted(now, &service, &revision) =>
             {
-                self.execute_verdict(BeatAction::Acknowledge)
+                self.execute_beat_action(BeatAction::Acknowledge)
             }
             CoreRequest::RollOut { seen, service, revision, period_ms } => {
                 let current = self.view.rollouts.get(&service);
@@ -191,7 +191,7 @@
             .filter(|(term, _)| *term == self.member.term())
         {
             if self.view.index >= index {
-                return self.execute_verdict(BeatAction::Acknowledge);
+                return self.execute_beat_action(BeatAction::Acknowledge);
             }
             return Some(self.wait_for_entry(term, index));
         }
@@ -272,9 +272,9 @@
         same && self.reverted_at.get(service).is_some_and(|at| now < at + retry_window)
     }
 
-    /// Executes the registry's verdict on a heartbeat or a departure.
-    pub(super) fn execute_verdict(&mut self, verdict: BeatAction) -> Option<oneshot::Receiver<Answer>> {
-        match verdict {
+    /// Executes the registry's decision on a heartbeat or a departure.
+    pub(super) fn execute_beat_action(&mut self, action: BeatAction) -> Option<oneshot::Receiver<Answer>> {
+        match action {
             // Twice the weight: the first marshal of a service also records the version that has its
             // traffic.
             BeatAction::Propose(Command::NodeUp(node)) => {
@@ -292,7 +292,7 @@
     }
 
     /// Executes a request here or at the leader, retrying for as long as its caller waits.
-    /// [`Answer::NotTaken`] is definite: no leader has accepted it.
+    /// [`Answer::NotAccepted`] is definite: no leader has accepted it.
     pub async fn submit(shared: &SharedCore, request: CoreRequest, timeout: Duration) -> Answer {
         let maybe_accepted = Cell::new(false);
         let attempts = async {
@@ -359,8 +359,8 @@
             // Guards against acknowledging the departure of a marshal whose arrival this replica has not
             // applied yet.
             let certain = beat.state != DRAINING || core.view.is_leaving(&id);
-            let verdict = (!leads).then(|| core.registry.handle_beat(now, &core.view, &id, &beat));
-            (verdict == Some(BeatAction::Acknowledge) && certain).then_some(core.view.index)
+            let action = (!leads).then(|| core.registry.handle_beat(now, &core.view, &id, &beat));
+            (action == Some(BeatAction::Acknowledge) && certain).then_some(core.view.index)
         };
         match known {
             Some(index) => Answer::Done(index),
--- a/crates/control-plane/src/core/subscriptions.rs
+++ b/crates/control-plane/src/core/subscriptions.rs
@@ -1,4 +1,4 @@
-//! What is sent to edges: applied entries, full states, status broadcasts, and repair steps.
+//! What is sent to edges: applied entries, snapshots of the state, heartbeats, and repair steps.
 
 use super::{Core, EdgeFeed, EdgeFrame, Millis, FRESHNESS_MS};
 use milletwing_drift_detection::Step;
@@ -47,7 +47,7 @@
         self.feeds.contains_key(&id)
     }
 
-    /// Queues for an edge the entries that it lacks, or the full state if some of them are no longer kept.
+    /// Queues for an edge the entries that it lacks, or a snapshot of the state if some of them are no longer kept.
     /// An edge whose queue is full is removed.
     pub(super) fn send_updates(&mut self, id: u64) {
         let (index, has_state) = (self.view.index, self.view.index > 0);
@@ -67,14 +67,13 @@
                 .collect();
             Some(Rc::new(encode_frame(&ToEdge::Entries(entries))))
         } else {
-            if self.full_state_frame.as_ref().is_none_or(|(at, _)| *at != index) {
-                self.full_state_frame =
+            if self.snapshot_frame.as_ref().is_none_or(|(at, _)| *at != index) {
+                self.snapshot_frame =
                     Some((index, Rc::new(encode_frame(&ToEdge::Snapshot(self.view.to_compressed())))));
             }
             None
         };
-        let Some(bytes) =
-            message.or_else(|| self.full_state_frame.as_ref().map(|(_, bytes)| Rc::clone(bytes)))
+        let Some(bytes) = message.or_else(|| self.snapshot_frame.as_ref().map(|(_, bytes)| Rc::clone(bytes)))
         else {
             return;
         };
@@ -84,12 +83,12 @@
         }
     }
 
-    /// Sends all connected edges the current status, five times a second. It is encoded once, and skipped
-    /// for an edge whose queue is not empty, so that a status is never old when it arrives.
-    pub(super) fn broadcast_status(&mut self, now: Millis) {
+    /// Sends a heartbeat to all connected edges, five times a second. It is encoded once, and skipped for an
+    /// edge whose queue is not empty, so that its contents are never old when it arrives.
+    pub(super) fn broadcast_heartbeat(&mut self, now: Millis) {
         let loads = self.host_loads.take_updates(now);
         self.drift.update_own_digest(now, &self.view);
-        let bytes = Rc::new(encode_frame(&self.status_message(now, loads)));
+        let bytes = Rc::new(encode_frame(&self.heartbeat_message(now, loads)));
         for feed in self.feeds.values() {
             if feed.sender.capacity() == feed.sender.max_capacity() {
                 let _ = feed.sender.try_send((Some(now), Rc::clone(&bytes)));
@@ -97,8 +96,8 @@
         }
     }
 
-    /// Builds a status broadcast.
-    pub(super) fn status_message(&self, now: Millis, loads: Vec<(u32, u16)>) -> ToEdge {
+    /// Builds a heartbeat.
+    pub(super) fn heartbeat_message(&self, now: Millis, loads: Vec<(u32, u16)>) -> ToEdge {
         let mut cores = self.member.members().to_vec();
         if cores.is_empty() {
             cores.push(self.settings.id());
@@ -121,8 +120,8 @@
             Step::Again => feed.sent_index = feed.applied_index.min(feed.sent_index),
             Step::Renew => {
                 feed.sent_index = self.view.index;
-                let full_state = ToEdge::Rebuild(self.view.to_compressed());
-                if feed.sender.try_send((None, Rc::new(encode_frame(&full_state)))).is_err() {
+                let snapshot = ToEdge::Rebuild(self.view.to_compressed());
+                if feed.sender.try_send((None, Rc::new(encode_frame(&snapshot)))).is_err() {
                     self.feeds.remove(&id); // the edge reads nothing: it will connect again
                 }
             }
--- a/crates/control-plane/src/drift.rs
+++ b/crates/control-plane/src/drift.rs
@@ -94,8 +94,8 @@
         self.checker.core_digest(index).map(|digest| (index, *digest))
     }
 
-    /// Checks an edge's heartbeat.
-    pub fn check_heartbeat(
+    /// Checks an edge's report.
+    pub fn check_report(
         &mut self,
         now: Millis,
         view: &View,
@@ -163,13 +163,13 @@
     }
 
     /// Lists by name what differs between an edge's routing state and the committed state.
-    pub fn list_differences(&mut self, view: &View, edge: u32, names: &LeafHashes) -> Vec<String> {
+    pub fn list_differences(&mut self, view: &View, edge: u32, hashes: &LeafHashes) -> Vec<String> {
         self.refresh_table(view);
         let mut expected = LeafHashes::default();
         self.table.1.export_state(&mut expected);
         expected_state::export_shared(view, &mut expected);
         expected_state::export_cold_limits(view, edge, &mut expected);
-        expected.differences(names, MAX_LISTED_DIFFERENCES)
+        expected.differences(hashes, MAX_LISTED_DIFFERENCES)
     }
 
     /// Returns the leader's next repairs. Logs edges that drift and edges that have recovered.
--- a/crates/control-plane/src/feeds.rs
+++ b/crates/control-plane/src/feeds.rs
@@ -1,4 +1,4 @@
-//! Connections of edges: log entries as they are applied here, periodic status broadcasts, and the edges'
+//! Connections of edges: log entries as they are applied here, periodic heartbeats, and the edges'
 //! own reports.
 
 use crate::core::SharedCore;
@@ -8,8 +8,8 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// Age in milliseconds beyond which a status broadcast is no longer sent.
-const MAX_STATUS_AGE_MS: u64 = 100;
+/// Age in milliseconds beyond which a heartbeat is no longer sent.
+const MAX_HEARTBEAT_AGE_MS: u64 = 100;
 
 /// Serves an edge until either side closes the connection.
 pub async fn serve(
@@ -28,14 +28,14 @@
             let core = &mut *reader_core.borrow_mut();
             match message {
                 FromEdge::Report(report) => core.on_edge_report(id, *report),
-                FromEdge::LeafHashes(names) => core.on_edge_names(id, &names),
+                FromEdge::LeafHashes(names) => core.on_leaf_hashes(id, &names),
             }
         }
         reader_core.borrow_mut().detach_edge(id);
     });
     while let Some((made_at, bytes)) = queue.recv().await {
-        // A delayed status broadcast is no longer true; the next one is due soon.
-        if made_at.is_some_and(|made_at| core.borrow().now() > made_at + MAX_STATUS_AGE_MS) {
+        // The contents of a delayed heartbeat are no longer true; the next one is due soon.
+        if made_at.is_some_and(|made_at| core.borrow().now() > made_at + MAX_HEARTBEAT_AGE_MS) {
             continue;
         }
         if !core.borrow().is_attached(id) || wire::write_frame(&mut write, &bytes).await.is_err() {
--- a/crates/control-plane/tests/detection.rs
+++ b/crates/control-plane/tests/detection.rs
@@ -110,7 +110,7 @@
 
 #[test]
 fn edges_learn_that_their_replica_is_cut_off() {
-    // 700 ms without hearing the leader, and 200 ms between two status broadcasts.
+    // 700 ms without hearing the leader, and 200 ms between two heartbeats.
     const BOUND: u64 = 1_000;
     for seed in 0..SEEDS {
         run(async move {
@@ -125,10 +125,10 @@
                 incarnation: 1,
             };
             let (_, mut updates) = core.borrow_mut().attach_edge(edge, 0);
-            let mut freshness = Vec::new();
+            let mut leader_contacts = Vec::new();
             let started_at = Instant::now();
             let mut cut = None;
-            while started_at.elapsed() < ms(6_000) && freshness.last() != Some(&false) {
+            while started_at.elapsed() < ms(6_000) && leader_contacts.last() != Some(&false) {
                 if cut.is_none() && started_at.elapsed() > ms(2_000) {
                     simulation.cut(follower, true);
                     cut = Some(Instant::now());
@@ -137,13 +137,16 @@
                 if let ToEdge::Heartbeat { leader_contact, .. } =
                     wire::read_frame::<ToEdge>(&mut bytes.as_slice()).await.unwrap()
                 {
-                    freshness.push(leader_contact);
+                    leader_contacts.push(leader_contact);
                 }
             }
             let elapsed_ms = cut.expect("the updates ended before the cut").elapsed();
-            assert!(freshness.contains(&true), "seed {seed}: no fresh status before the cut");
             assert!(
-                freshness.last() == Some(&false) && elapsed_ms <= ms(BOUND),
+                leader_contacts.contains(&true),
+                "seed {seed}: no leader contact was reported before the cut"
+            );
+            assert!(
+                leader_contacts.last() == Some(&false) && elapsed_ms <= ms(BOUND),
                 "seed {seed}: after {elapsed_ms:?}"
             );
         });
