--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -1,13 +1,16 @@
-//! What edges meet at hosts, told by their beats and added up at the core. `observed` is what one edge met, `board` the newest
-//! load of each host as any edge was told it, `tally` which hosts are taken out by agreement. No I/O: time is handed in.
+//! Outlier detection: edges report in their heartbeats what they observe of hosts, and the control
+//! plane combines the reports. No I/O: the caller provides the time.
+//!
+//! `observation` is what one edge observes of a host, `load_board` holds the latest load that any
+//! edge was told for each host, and `detector` decides which hosts are ejected.
 
-pub mod board;
-pub mod observed;
-pub mod tally;
+pub mod detector;
+pub mod load_board;
+pub mod observation;
 
-pub use board::LoadBoard;
-pub use observed::{host_key, HostObservation};
-pub use tally::{HostAction, KnownHost, OutlierDetector};
+pub use detector::{HostAction, KnownHost, OutlierDetector};
+pub use load_board::LoadBoard;
+pub use observation::{host_key, HostObservation};
 
-/// Milliseconds of a steady clock that is the user's.
+/// Milliseconds of a monotonic clock that the caller provides.
 pub type Time = u64;
