--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -28,7 +28,7 @@
 const WIDESPREAD: f64 = 0.2;
 /// Retry tokens that each request earns: limits the load of retries under overload.
 const RETRY_SHARE: f64 = 0.1;
-const RESET_RETRY_COST: f64 = 0.2; // after a broken connection, while fewer answers than that are late
+const RESET_RETRY_COST: f64 = 0.2; // of a retry after a reset, while under `RETRY_SHARE` of answers are late
 const MAX_RETRY_TOKENS: f64 = 10.0;
 const RATE_WINDOW: Ms = Ms(2000.0); // for this marshal's own request rate
 const PERIOD: Ms = Ms(100.0); // of the timer that drives votes and discovery
@@ -72,9 +72,9 @@
     pub fn new(settings: Settings, seed: u64) -> Marshal {
         let classes = settings.classes.len();
         let sums: Vec<[Sums; 2]> = vec![Default::default(); classes];
-        // Where reverting needs a quorum, each vote has a higher significance level, at which the quorum errs
-        // no more often than one marshal at `ALPHA`; halved, as marshals share causes of error. By its
-        // logarithm fewer and milder signs suffice, but a larger surplus: a small one may be shared by all.
+        // Where reverting needs a quorum, each vote has the significance level at which the quorum errs as
+        // rarely as one marshal at `ALPHA`; halved, as marshals share causes of error. With its logarithm,
+        // each needs fewer and milder signs but a larger surplus: a small one may be common to all.
         let (all, quorum) = (u64::from(settings.marshals.max(1)), u64::from(settings.revert_votes.max(1)));
         let (all, quorum) = if settings.group_decisions { (1, 1) } else { (all, quorum) }; // one judgement
         let quorum_error = |level: f64| Binomial::new(level, all).map_or(1.0, |law| law.sf(quorum - 1));
@@ -165,8 +165,8 @@
         let success_rate = if self.stats.retry_gain.n > 0.0 { self.stats.retry_gain.value } else { 1.0 };
         let helps = !is_error || self.is_newest(build) || self.rng.fraction() < success_rate.max(MIN_WEIGHT);
         let retry = !is_final && helps && !(is_error && previous_error.is_some()) && self.may_retry(&request);
-        // An error may be the request's own: a retry shows it, else the success rate of retries. Two are no
-        // evidence and bring no third attempt. Guards against invalid requests and errors of shared services.
+        // An error may be the request's own: a retry tells, else the success rate of retries decides. Two are
+        // no evidence and bring no third. Guards against invalid requests and errors of shared services.
         if let Some((first, first_node)) = &previous_error {
             if is_error || outcome == Outcome::Ok {
                 self.stats.retry_gain.add(f64::from(u8::from(!is_error)), MIN_WEIGHT * 3.0);
--- a/crates/decision/src/policy/cold.rs
+++ b/crates/decision/src/policy/cold.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// The load a machine is assumed to bear, over the most it ever answered; its least part of our requests.
+/// A machine is assumed to bear this multiple of its peak answer rate, but at least this part of requests.
 const HEADROOM: f64 = 1.25;
 const MIN_BORNE: f64 = 0.25;
 
--- a/crates/decision/src/policy/evidence.rs
+++ b/crates/decision/src/policy/evidence.rs
@@ -154,7 +154,7 @@
     }
 
     /// A build may turn bad late: its errors and wrong answers (not slowness), rare as they are, are tested
-    /// against its share of outcomes, if even over a fourth of its machines, which may be all of one kind.
+    /// against its share of outcomes, if even over a fourth of its machines: a harmed kind may be so small.
     fn check_failures(&mut self, evidence: &Evidence, out: &mut Vec<Action>) {
         let (own, limits) = (FailureExcess::of(&evidence.failure_sums), &self.limits);
         let all = self.nodes.values().filter(|n| n.entry.build == evidence.build).count() as f64;
@@ -164,7 +164,7 @@
         if harm && even && own.units >= limits.min_n && own.p_value() < limits.alpha / f64::from(LOOKS) {
             self.mark_for_revert(evidence.build, "by its errors", own.p_value(), out);
         }
-        // The platform counts what each sees little of; all judge that alike, so far below a quorum's level.
+        // The platform counts what each sees little of. All judge that alike: far below a quorum's level.
         // A few bad machines among the new are no bad build: it must have three times the others' errors.
         let single_judge = self.settings.group_decisions || self.settings.revert_votes <= 1;
         let total = self.platform_counts.excess();
@@ -179,8 +179,8 @@
         }
     }
 
-    /// Harm that slows every server shows no difference, but rises with the dose: latency regressed on the
-    /// build's share of attempts. Could misjudge a shared problem that begins as a stage advances.
+    /// Harm that slows every server shows no difference between builds, but rises with the dose: a regression
+    /// of latency on the build's share of attempts. Could misjudge a shared problem that begins with a stage.
     fn check_dose_response(&mut self, build: Build, out: &mut Vec<Action>) {
         let response = &mut self.dose_response;
         response.sums.scale(DECAY);
--- a/crates/decision/src/policy/votes.rs
+++ b/crates/decision/src/policy/votes.rs
@@ -68,7 +68,7 @@
         if let (true, Some(last)) = (report.answers_vote, &mut self.calls.last_vote) {
             last.answered = report.outcome == Outcome::Ok;
             if !last.answered {
-                // Maybe lost: repeated, after a random pause lest hundreds do so at once at a full platform.
+                // Maybe lost: repeated after a random pause, or hundreds would call a full platform at once.
                 let pause = self.calls.interval.max(FIRST_BACKOFF * 2.0) * (0.5 * self.rng.fraction());
                 last.at = Ms(f64::MIN);
                 self.calls.next_vote = self.calls.next_vote.max(self.now + pause);
--- a/crates/decision/tests/decisions/group_decisions.rs
+++ b/crates/decision/tests/decisions/group_decisions.rs
@@ -4,14 +4,14 @@
 use milletwing_decision::interface::*;
 use milletwing_decision::statistics::Sums;
 
-fn group_member(back_votes: u32) -> Harness {
+fn group_member(revert_votes: u32) -> Harness {
     let mut entries: Vec<NodeEntry> = (0..9).map(|i| node(&format!("n{i}"), 1)).collect();
     entries.extend((0..3).map(|i| node(&format!("t{i}"), 2)));
     let config = Settings {
         group_decisions: true,
         marshals: 10,
-        advance_votes: back_votes,
-        revert_votes: back_votes,
+        advance_votes: revert_votes,
+        revert_votes,
         ..settings()
     };
     let mut harness = Harness::new(config, entries, 1);
@@ -121,12 +121,12 @@
 
 #[test]
 fn objections_of_a_quorum_revert_and_looks_of_an_earlier_leader_count() {
-    for (objecting, back) in [(2, false), (3, true)] {
+    for (objecting, reverts) in [(2, false), (3, true)] {
         let mut harness = group_member(3);
         harness.handle(Event::GroupMessage(GroupMessage::Leadership(true)));
         harness.handle(pooled_evidence(2, 0, objecting));
         advance_periods(&mut harness, 3);
-        assert_eq!(proposed(&harness, Vote::Revert), back);
+        assert_eq!(proposed(&harness, Vote::Revert), reverts);
     }
     let mut harness = group_member(1);
     harness.handle(Event::GroupMessage(GroupMessage::Leadership(true)));
--- a/crates/decision/tests/decisions/many_marshals.rs
+++ b/crates/decision/tests/decisions/many_marshals.rs
@@ -101,8 +101,8 @@
 /// evidence.
 #[test]
 fn a_single_judge_and_a_group_ignore_the_platforms_counts() {
-    for (back_votes, group_decisions) in [(1, false), (75, true)] {
-        let config = Settings { marshals: 300, revert_votes: back_votes, group_decisions, ..settings() };
+    for (quorum, group_decisions) in [(1, false), (75, true)] {
+        let config = Settings { marshals: 300, revert_votes: quorum, group_decisions, ..settings() };
         let mut harness = Harness::new(config, (0..4).map(|i| node(&format!("t{i}"), 2)).collect(), 1);
         harness.handle(stage_report(2, 0, Phase::Trial, 0.16));
         report_counts(&mut harness, 1, 400.0, 4.0);
@@ -140,13 +140,13 @@
 #[test]
 fn a_valid_revert_vote_is_repeated_only_when_it_expires() {
     let mut harness = one_of_many(7);
-    let life = settings().vote_ttl.0;
+    let vote_ttl = settings().vote_ttl.0;
     report_counts(&mut harness, 1, 400.0, 4.0);
     report_counts(&mut harness, 2, 28.0, 12.0);
     harness.advance(100.0);
     answer_vote(&mut harness, Outcome::Ok);
     let from = harness.now;
-    while harness.now - from < life - 200.0 {
+    while harness.now - from < vote_ttl - 200.0 {
         harness.advance(100.0);
     }
     assert_eq!(revert_votes(&harness), 1);
--- a/crates/decision/tests/decisions/rules.rs
+++ b/crates/decision/tests/decisions/rules.rs
@@ -518,8 +518,8 @@
 fn a_burst_is_refused_by_measured_latency_and_not_by_extrapolation() {
     let mut harness = Harness::new(settings(), fleet(1, 1), 1);
     let mut refused = |count: usize, latency: f64| {
-        let asked: Vec<_> = (0..count).map(|at| harness.request(at % 3)).collect();
-        let out: Vec<_> = asked.iter().filter_map(|(id, out)| Some((id, attempted_node(out)?))).collect();
+        let requests: Vec<_> = (0..count).map(|at| harness.request(at % 3)).collect();
+        let out: Vec<_> = requests.iter().filter_map(|(id, out)| Some((id, attempted_node(out)?))).collect();
         (0..(latency / 50.0) as u32).for_each(|_| harness.advance(50.0));
         out.iter().for_each(|(id, to)| drop(harness.complete(id, 0, to, Outcome::Ok, latency)));
         count - out.len()
@@ -551,13 +551,13 @@
             broken += u32::from(node == bad);
             harness.complete(&id, 0, &node, ends, 40.0);
         }
-        let asked = (0..40).filter(|_| {
+        let sent_to_bad = (0..40).filter(|_| {
             let (id, out) = harness.request(0);
             let node = attempted_node(&out).unwrap();
             harness.complete(&id, 0, &node, Outcome::Ok, 40.0);
             node == bad
         });
-        assert_eq!(asked.count() == 0, ejected, "{outcome:?} {times}");
+        assert_eq!(sent_to_bad.count() == 0, ejected, "{outcome:?} {times}");
     }
 }
 
