--- a/crates/outlier-detection/src/lib.rs
+++ b/crates/outlier-detection/src/lib.rs
@@ -1,8 +1,8 @@
 //! Outlier detection: edges report in their heartbeats what they observe of hosts, and the control
 //! plane combines the reports. No I/O: the caller provides the time.
 //!
-//! `observation` is what one edge observes of a host, `load_board` holds the latest load that any
-//! edge was told for each host, and `detector` decides which hosts are ejected.
+//! `observation` is what one edge observes of a host, `load_board` holds the latest load that each
+//! host has reported to any edge, and `detector` decides which hosts are ejected.
 
 pub mod detector;
 pub mod load_board;
--- a/crates/outlier-detection/src/load_board.rs
+++ b/crates/outlier-detection/src/load_board.rs
@@ -1,6 +1,6 @@
 //! Latest load of each host. An edge of a large fleet sends to a host only once in many seconds, so
-//! the loads that it was told itself are old; all edges together reach every host several times a
-//! second.
+//! the loads reported to that edge alone are old; all edges together reach every host several times
+//! a second.
 
 use crate::{HostObservation, Time};
 use std::collections::BTreeMap;
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -166,8 +166,8 @@
 #[test]
 fn cold_marshal_limit_holds_over_all_edges() {
     let mut view = view(0); // the cold marshal is the only one, so all load goes to it
-    let deal: Vec<(u32, u32)> = (0..3).map(|id| (id, if id < 2 { 9 } else { 8 })).collect();
-    view.apply(100, &Command::NodeUp(Node { phase: Phase::Cold(deal), ..node(4, "v1", Phase::Warm) }));
+    let limits: Vec<(u32, u32)> = (0..3).map(|id| (id, if id < 2 { 9 } else { 8 })).collect();
+    view.apply(100, &Command::NodeUp(Node { phase: Phase::Cold(limits), ..node(4, "v1", Phase::Warm) }));
     let mut edges: Vec<Router> = (0..9).map(|id| edge(id, &view, 9, 1)).collect();
     let mut sent: Vec<Time> = Vec::new();
     for now in 1..8_000 {
--- a/crates/routing/tests/drift.rs
+++ b/crates/routing/tests/drift.rs
@@ -28,9 +28,9 @@
     .into_bytes()
 }
 
-fn node(at: usize, life: u64, phase: Phase) -> Node {
+fn node(at: usize, incarnation: u64, phase: Phase) -> Node {
     Node {
-        id: format!("i-{at}-{life}"),
+        id: format!("i-{at}-{incarnation}"),
         target: if at.is_multiple_of(3) { "t" } else { "s" }.into(),
         address: format!("10.0.0.{}:80", at + 1).parse().unwrap(),
         zone: ["a", "b", "c"][at % 3].into(),
@@ -44,7 +44,7 @@
     router: Router,
     view: View,
     zone: String,
-    life: u64,
+    incarnation: u64,
     exported_at: Time,
     resting: bool,
     /// When its tables were corrupted, and in which way.
@@ -89,7 +89,7 @@
                 router,
                 view: View::default(),
                 zone,
-                life: 1,
+                incarnation: 1,
                 exported_at: 0,
                 resting: false,
                 corrupted: None,
@@ -123,10 +123,10 @@
     /// Applies a random change that causes no drift.
     fn apply_random_change(&mut self) {
         let at = self.rng.random_range(0..24);
-        let life = self.now;
+        let incarnation = self.now;
         let command = match self.rng.random_range(0..7) {
-            0 => Command::NodeUp(node(at, life, Phase::Cold(vec![(1, 3), (2, 1)]))),
-            1 => Command::NodeUp(node(at, life, Phase::Warm)),
+            0 => Command::NodeUp(node(at, incarnation, Phase::Cold(vec![(1, 3), (2, 1)]))),
+            1 => Command::NodeUp(node(at, incarnation, Phase::Warm)),
             2 => Command::Evacuate { zone: "b".into(), on: true, sure: false, deals: Vec::new() },
             3 => Command::Evacuate { zone: "b".into(), on: false, sure: false, deals: Vec::new() },
             4 => {
@@ -194,7 +194,7 @@
             let finding = self.checker.record_heartbeat(now, id, edge.view.index, true);
             if let Some(finding) = finding {
                 self.findings.entry(id).or_insert((now, finding.clone()));
-                self.repairer.record_finding(now, id, edge.life, &edge.zone, finding);
+                self.repairer.record_finding(now, id, edge.incarnation, &edge.zone, finding);
             }
             if now < edge.exported_at + 1_000 || self.checker.last_index() != Some(self.view.index) {
                 continue;
@@ -203,18 +203,18 @@
             let mut digest = Digest::default();
             edge.router.export_state(&mut digest);
             let table_digest = TableDigest { index: edge.view.index, digest };
-            let wanted = self.checker.core_digest(edge.view.index).copied().map(|mut wanted| {
+            let expected = self.checker.core_digest(edge.view.index).copied().map(|mut expected| {
                 if edge.view.index != self.view.index {
-                    return wanted.with_part_of(&digest, Part::Deals);
+                    return expected.with_part_of(&digest, Part::Deals);
                 }
-                expected_state::export_cold_limits(&self.view, id, &mut wanted);
-                wanted
+                expected_state::export_cold_limits(&self.view, id, &mut expected);
+                expected
             });
-            let finding = self.checker.check(now, id, &table_digest, wanted, true);
+            let finding = self.checker.check(now, id, &table_digest, expected, true);
             if finding.is_drift() {
                 self.findings.entry(id).or_insert((now, finding.clone()));
             }
-            self.repairer.record_finding(now, id, edge.life, &edge.zone, finding);
+            self.repairer.record_finding(now, id, edge.incarnation, &edge.zone, finding);
         }
         let ready: Vec<(u32, String)> =
             self.edges.iter().filter(|(_, it)| !it.resting).map(|(id, it)| (*id, it.zone.clone())).collect();
@@ -241,8 +241,8 @@
                     edge.router = Router::new(location, Guarantees::default(), now);
                     edge.view = self.view.clone();
                     edge.router.refresh(now, &edge.view);
-                    (edge.life, edge.resting, edge.corrupted) = (edge.life + 1, false, None);
-                    self.checker.attach(now, order.edge, edge.life);
+                    (edge.incarnation, edge.resting, edge.corrupted) = (edge.incarnation + 1, false, None);
+                    self.checker.attach(now, order.edge, edge.incarnation);
                 }
             }
         }
@@ -317,16 +317,16 @@
         (0..40).for_each(|_| world.tick(false));
         world.findings.get(&4).map(|(_, finding)| finding.clone())
     };
-    let gone = |world: &mut World, lost: &[u32]| {
+    let remove_node = |world: &mut World, lost: &[u32]| {
         let id = world.view.nodes.keys().next().unwrap().clone();
         world.apply(Command::NodeGone { id, silent: false }, lost);
     };
     let lost = kind(&|world| {
-        gone(world, &[4]);
-        gone(world, &[]);
+        remove_node(world, &[4]);
+        remove_node(world, &[]);
     });
     assert_eq!(lost, Some(Finding::Mismatch(vec![Part::Hosts])));
-    assert_eq!(kind(&|world| gone(world, &[4])), Some(Finding::Stale));
+    assert_eq!(kind(&|world| remove_node(world, &[4])), Some(Finding::Stale));
     let ahead = kind(&|world| {
         let edge = world.edges.get_mut(&4).unwrap();
         let command = edge.view.configure_command(99, &body(99, 3)).unwrap();
@@ -407,14 +407,14 @@
 fn differing_entries_are_listed() {
     let mut world = World::new(1, 3);
     world.corrupt(2, 3);
-    let (mut wanted, mut have) = (LeafHashes::default(), LeafHashes::default());
-    world.table.export_state(&mut wanted);
-    expected_state::export_shared(&world.view, &mut wanted);
-    expected_state::export_cold_limits(&world.view, 2, &mut wanted);
-    world.edges[&2].router.export_state(&mut have);
-    assert_eq!(wanted.differences(&have, 8), ["hosts i-0-0 differs"]);
+    let (mut expected, mut actual) = (LeafHashes::default(), LeafHashes::default());
+    world.table.export_state(&mut expected);
+    expected_state::export_shared(&world.view, &mut expected);
+    expected_state::export_cold_limits(&world.view, 2, &mut expected);
+    world.edges[&2].router.export_state(&mut actual);
+    assert_eq!(expected.differences(&actual, 8), ["hosts i-0-0 differs"]);
     world.edges[&1].router.export_state(&mut LeafHashes::default());
     let mut same = LeafHashes::default();
     world.edges[&1].router.export_state(&mut same);
-    assert!(wanted.differences(&same, 8).is_empty());
+    assert!(expected.differences(&same, 8).is_empty());
 }
--- a/crates/sequential-test/src/lib.rs
+++ b/crates/sequential-test/src/lib.rs
@@ -1,5 +1,5 @@
 //! A sequential test that compares two versions of a service, and the votes that follow from it. No
-//! I/O: the caller provides the time.
+//! I/O: the caller provides the time. A look is an interim evaluation of the evidence.
 //!
 //! `sums` holds the covariate-adjusted test (CUPED), `exposure` limits what one proxy sends to the
 //! new version, `stage_test` makes one proxy's vote from its own evidence, and `tally` combines the
--- a/crates/sequential-test/src/stage_test.rs
+++ b/crates/sequential-test/src/stage_test.rs
@@ -72,7 +72,7 @@
         let (delta, _, _, p) = adjusted_test(sums, request_counts);
         if self.looks < LOOKS && outcomes >= self.next_look {
             self.looks += 1;
-            // Each later look needs more additional outcomes than the one before.
+            // Each later look rests on about twice as many outcomes as the one before.
             self.next_look = outcomes + MIN_N * f64::from(self.looks);
             if p < ALPHA / f64::from(LOOKS) && delta > MIN_EFFECT {
                 self.vote = Some(Vote::RollBack);
