--- a/crates/system/tests/races.rs
+++ b/crates/system/tests/races.rs
@@ -149,7 +149,7 @@
     };
     let accepted: Vec<Version> =
         history.changes.iter().map(|change| change.version).filter(|version| is_accepted(version)).collect();
-    history.judge(|version| accepted.contains(version));
+    history.assert_linearizable(|version| accepted.contains(version));
     let acknowledged =
         history.changes.iter().filter(|change| change.outcome == Outcome::Acknowledged).count();
     assert!(acknowledged >= 20, "{acknowledged} changes acknowledged");
