--- a/crates/releases-server/src/chart.rs
+++ b/crates/releases-server/src/chart.rs
@@ -1,4 +1,4 @@
-//! A plan as a picture: a row for each building, a bar for each step, freezes shaded.
+//! A schedule as an SVG chart: a row for each building, a bar for each step, freezes shaded.
 
 use milletwing_releases::calendar::frozen_intervals;
 use milletwing_releases::model::Model;
@@ -6,7 +6,7 @@
 use milletwing_releases::Time;
 use plotters::prelude::*;
 
-/// Draws a schedule as SVG text.
+/// Renders a schedule as SVG.
 pub fn render_svg(model: &Model, schedule: &Schedule, from: Time) -> Result<String, String> {
     let mut text = String::new();
     {
@@ -36,9 +36,9 @@
         for building in 0..rows {
             for edition in model.editions.keys() {
                 for customers in &model.tranches {
-                    let of = (*edition, building, customers.as_slice());
+                    let tranche = (*edition, building, customers.as_slice());
                     for span in
-                        frozen_intervals(&model.freezes, &model.exemptions, of, (from, schedule.finish))
+                        frozen_intervals(&model.freezes, &model.exemptions, tranche, (from, schedule.finish))
                     {
                         let corners = [
                             (minutes(span.from).max(0.0), building as f64),
@@ -52,13 +52,14 @@
                 }
             }
         }
-        // Bars of one building stand in lanes, so that none hides another.
+        // The bars of a building are placed in lanes, so that none overlaps another.
         for building in 0..rows {
             let steps: Vec<_> = schedule.steps.iter().filter(|step| step.building == building).collect();
             let mut lanes: Vec<(Time, milletwing_releases::model::Edition)> = Vec::new();
-            let place = |lanes: &mut Vec<(Time, milletwing_releases::model::Edition)>, at: usize| {
-                let step = steps[at];
-                let lane = lanes.iter().position(|(end, of)| *of == step.edition || *end <= step.start);
+            let assign_lane = |lanes: &mut Vec<(Time, milletwing_releases::model::Edition)>, index: usize| {
+                let step = steps[index];
+                let lane =
+                    lanes.iter().position(|(end, edition)| *edition == step.edition || *end <= step.start);
                 let lane = lane.unwrap_or_else(|| {
                     lanes.push((0, step.edition));
                     lanes.len() - 1
@@ -66,9 +67,10 @@
                 lanes[lane] = (step.end, step.edition);
                 lane
             };
-            let at: Vec<usize> = (0..steps.len()).map(|step| place(&mut lanes, step)).collect();
+            let lane_of_step: Vec<usize> =
+                (0..steps.len()).map(|step| assign_lane(&mut lanes, step)).collect();
             let height = 0.9 / lanes.len().max(1) as f64;
-            for (step, lane) in steps.iter().zip(at) {
+            for (step, lane) in steps.iter().zip(lane_of_step) {
                 let low = building as f64 + 0.03 + lane as f64 * height;
                 let corners = [(minutes(step.start), low), (minutes(step.end), low + height * 0.85)];
                 let color = Palette99::pick(step.edition.service).mix(0.5 + 0.1 * (step.tranche % 5) as f64);
--- a/crates/releases-server/src/lib.rs
+++ b/crates/releases-server/src/lib.rs
@@ -1,7 +1,10 @@
-//! The gate on a disk and a clock: the thin part around `milletwing-releases`, which decides.
+//! The release gate of an instance: connects the engine of `milletwing-releases`, which makes all decisions, to the disk,
+//! the clock, operators and marshals.
 //!
-//! `settings` is the operator's file, `journal` what is written before it is told, `host` the thread that owns the
-//! engine and tells tables to marshals, `chart` a picture of a plan.
+//! - `settings`: the operator's settings file
+//! - `journal`: write-ahead storage of the engine's state
+//! - `host`: the thread that owns the engine and sends tables to marshals
+//! - `chart`: a plan as an SVG chart
 
 pub mod chart;
 pub mod host;
--- a/crates/releases-server/tests/gate.rs
+++ b/crates/releases-server/tests/gate.rs
@@ -1,4 +1,4 @@
-//! The gate on a disk: the operator's file, the journal, and what marshals are told.
+//! Tests of the release gate: the operator's settings file, the journal, and the tables that marshals receive.
 
 use crossbeam_channel::{bounded, unbounded, Receiver, Sender};
 use milletwing_decision::interface::{Build, Event, PermitTable, TenantId, ZoneId};
@@ -15,14 +15,14 @@
 const SHIPPED: &str = include_str!("../../../deploy/releases.json5");
 
 #[test]
-fn the_operators_file_is_checked_and_errors_name_field_and_line() {
-    let whole = Settings::parse(SHIPPED).unwrap();
+fn settings_are_checked_and_errors_state_field_and_line() {
+    let settings = Settings::parse(SHIPPED).unwrap();
     assert!(
-        whole.summary().contains("gates service pedidos by 2 services, 4 editions (2 to go out)"),
+        settings.summary().contains("gates service pedidos by 2 services, 4 editions (2 to go out)"),
         "{}",
-        whole.summary()
+        settings.summary()
     );
-    for (from, to, told) in [
+    for (from, to, expected) in [
         (
             "service: \"pedidos\",\n  // Written",
             "service: \"pedido\",\n  // Written",
@@ -61,14 +61,14 @@
     ] {
         assert!(SHIPPED.contains(from), "{from}");
         let why = Settings::parse(&SHIPPED.replacen(from, to, 1)).expect_err(to);
-        assert!(why.contains(told) && why.contains("line"), "{to}: {why}");
+        assert!(why.contains(expected) && why.contains("line"), "{to}: {why}");
     }
     let plan =
-        host::plan(&Engine::new(whole.model.clone(), State::default(), 1000, 1), 1_796_000_000).unwrap();
+        host::plan(&Engine::new(settings.model.clone(), State::default(), 1000, 1), 1_796_000_000).unwrap();
     assert_eq!(plan["steps"].as_array().unwrap().len(), 8);
     let schedule =
-        milletwing_releases::planner::Planner::new(&whole.model, &State::default(), 0).unwrap().schedule();
-    let svg = chart::render_svg(&whole.model, &schedule, 0).unwrap();
+        milletwing_releases::planner::Planner::new(&settings.model, &State::default(), 0).unwrap().schedule();
+    let svg = chart::render_svg(&settings.model, &schedule, 0).unwrap();
     assert!(svg.starts_with("<svg") && svg.contains("prensa 7") && svg.contains("nave-2"));
 }
 
@@ -77,12 +77,12 @@
 }
 
 #[test]
-fn a_journal_gives_back_what_was_written_and_tells_what_is_not_its_own() {
+fn a_journal_restores_what_was_written_and_rejects_other_names_and_damage() {
     let folder = Folder::new("journal").unwrap();
     let path = folder.0.join("a.redb");
     let (mut journal, mut state, _) = Journal::open(&path, &names()).unwrap();
     assert_eq!(state, State::default());
-    // More than are kept one by one: they are folded into the state they make.
+    // Enough changes that the journal replaces them by a snapshot of the state.
     for number in 1..=50 {
         let changes: Vec<Change> = (number * 100..number * 100 + 100).map(Change::Table).collect();
         changes.iter().for_each(|change| state.apply(change));
@@ -94,27 +94,27 @@
     journal.append(&[change], &state).unwrap();
     assert!(Journal::open(&path, &names()).err().unwrap().contains("already open"));
     drop(journal);
-    let (journal, again, _) = Journal::open(&path, &names()).unwrap();
-    assert_eq!(again, state);
+    let (journal, restored, _) = Journal::open(&path, &names()).unwrap();
+    assert_eq!(restored, state);
     drop(journal);
     let other = Journal::open(&path, &["s".into(), "c".into()]).err().unwrap();
     assert!(other.contains("it knows `b`"), "{other}");
-    // A byte turned, an end cut off.
+    // Damage: single bytes flipped, and the file truncated.
     let bytes = std::fs::read(&path).unwrap();
-    let read = |bytes: &[u8]| {
+    let open_with = |bytes: &[u8]| {
         std::fs::write(&path, bytes).unwrap();
         Journal::open(&path, &names()).map(|(_, state, _)| state)
     };
-    let mut told = 0;
+    let mut rejected = 0;
     for at in (0..bytes.len()).step_by(bytes.len() / 40) {
-        let mut turned = bytes.clone();
-        turned[at] ^= 0x55;
-        match read(&turned) {
-            Ok(read) => assert_eq!(read, state),
-            Err(why) => told += usize::from(why.starts_with("journal ")),
+        let mut damaged = bytes.clone();
+        damaged[at] ^= 0x55;
+        match open_with(&damaged) {
+            Ok(restored) => assert_eq!(restored, state),
+            Err(why) => rejected += usize::from(why.starts_with("journal ")),
         }
     }
-    assert!(told > 0 && read(&bytes[..bytes.len() / 2]).is_err());
+    assert!(rejected > 0 && open_with(&bytes[..bytes.len() / 2]).is_err());
 }
 
 fn settings(folder: &Path, minutes: &str) -> Settings {
@@ -129,37 +129,38 @@
 }
 
 fn attach(host: &Host, service: usize) -> (Receiver<Note>, impl Watching) {
-    let (notes, told) = bounded(1000);
+    let (notes, receiver) = bounded(1000);
     let zones = ["nave-2", "nave-1"].map(String::from);
     let tenants = ["dulces-antigua", "licores-lago", "cafetera-sur"].map(String::from);
     let watcher = host.attach(service, &zones, &tenants, notes).unwrap();
-    (told, watcher)
+    (receiver, watcher)
 }
 
-fn table(told: &Receiver<Note>) -> Arc<PermitTable> {
-    match told.recv_timeout(Duration::from_secs(20)).expect("a table") {
+fn next_table(receiver: &Receiver<Note>) -> Arc<PermitTable> {
+    match receiver.recv_timeout(Duration::from_secs(20)).expect("no table was sent") {
         Note::Told(Event::PermitTable(table)) => table,
-        _ => panic!("something else"),
+        _ => panic!("not a table"),
     }
 }
 
-/// What a marshal is told: by its own numbers, written first, and after a restart never an older number.
+/// Marshals receive tables with their own identifiers, and after a restart no older version than before.
 #[test]
-fn marshals_are_told_tables_by_their_own_names_and_a_restart_goes_on() {
+fn marshals_receive_tables_with_their_own_identifiers_and_a_restart_resumes() {
     let folder = Folder::new("gate").unwrap();
     let host = Host::start(settings(&folder.0, "0.02")).unwrap();
     let (prensa, watch) = attach(&host, 1);
-    let first = std::iter::repeat_with(|| table(&prensa)).find(|table| !table.in_rollout.is_empty()).unwrap();
-    // nave-1 is the marshal's zone 1; the first tranche is dulces-antigua, its tenant 0.
+    let first =
+        std::iter::repeat_with(|| next_table(&prensa)).find(|table| !table.in_rollout.is_empty()).unwrap();
+    // nave-1 is zone 1 of the marshal; the first tranche is dulces-antigua, its tenant 0.
     assert!(first.in_rollout.contains(&(Build(7), ZoneId(1), TenantId(0))), "{first:?}");
     assert_eq!(first.in_rollout.len(), 1);
     assert!(first.released.contains(&(Build(6), ZoneId(0), PermitTable::NO_TENANT)));
     assert!(
         !first.released.iter().any(|(_, zone, tenant)| (*zone, *tenant) == (ZoneId(0), TenantId(1))),
-        "not at home"
+        "a customer is permitted in a building that does not serve it"
     );
-    let strangers = host.attach(0, &["nave-1".into()], &[], bounded(1).0);
-    assert!(strangers.err().unwrap().contains("no zone `nave-2`"));
+    let unknown_names = host.attach(0, &["nave-1".into()], &[], bounded(1).0);
+    assert!(unknown_names.err().unwrap().contains("no zone `nave-2`"));
     watch.told(&milletwing_marshal::wire::news(
         [7.0, 2.0, 1.0, 0.0],
         milletwing_decision::interface::Phase::Released,
@@ -167,33 +168,33 @@
     ));
     let (pedidos, _) = attach(&host, 0);
     loop {
-        let table = table(&pedidos);
+        let table = next_table(&pedidos);
         if table.in_rollout.contains(&(Build(2), ZoneId(1), TenantId(0))) {
             break;
         }
         assert!(!table.released.contains(&(Build(2), ZoneId(1), TenantId(0))));
     }
     let last = prensa.try_iter().last();
-    let Some(Note::Told(Event::PermitTable(last))) = last else { panic!("tables are renewed") };
+    let Some(Note::Told(Event::PermitTable(last))) = last else { panic!("the table was not sent again") };
     assert!(last.released.contains(&(Build(7), ZoneId(1), TenantId(1))));
     host.stop();
-    let mut again = settings(&folder.0, "0.02");
+    let mut restart_settings = settings(&folder.0, "0.02");
     let host = loop {
-        match Host::start(again.clone()) {
+        match Host::start(restart_settings.clone()) {
             Ok(host) => break host,
             Err(why) => assert!(why.contains("already open"), "{why}"),
         }
-        again.admin = milletwing_toy::free().unwrap();
+        restart_settings.admin = milletwing_toy::free().unwrap();
         std::thread::sleep(Duration::from_millis(5));
     };
-    let (told, _) = attach(&host, 1);
-    let table = table(&told);
+    let (tables, _) = attach(&host, 1);
+    let table = next_table(&tables);
     assert!(
         table.version >= last.version && table.released.is_superset(&last.released),
         "{table:?} {last:?}"
     );
-    // Operators add what lasts, and hear why not.
-    let call = |call: &AdminRequest| milletwing_admin::call(again.admin, call);
+    // Operators add freezes, and are told the reason where one is rejected.
+    let call = |call: &AdminRequest| milletwing_admin::call(restart_settings.admin, call);
     let freeze = |name: &str, to: &str| {
         AdminRequest::Freeze(milletwing_releases_server::settings::FreezeSettings {
             name: name.into(),
@@ -216,36 +217,37 @@
     };
     assert!(call(&explain(None)).unwrap().to_string().contains("\"name\":\"now\""));
     assert!(call(&explain(Some("nave-9"))).unwrap_err().contains("no building nave-9"));
-    let say = |build, verdict: &str| AdminRequest::SetVerdict {
+    let set_verdict = |build, verdict: &str| AdminRequest::SetVerdict {
         service: "prensa".into(),
         build,
         verdict: verdict.into(),
     };
-    assert!(call(&say(7, "maybe")).unwrap_err().contains("neither on nor back"));
-    assert!(call(&say(8, "back")).unwrap_err().contains("no edition prensa 8"));
-    assert!(call(&say(7, "back")).is_ok());
-    let gone =
+    assert!(call(&set_verdict(7, "maybe")).unwrap_err().contains("neither on nor back"));
+    assert!(call(&set_verdict(8, "back")).unwrap_err().contains("no edition prensa 8"));
+    assert!(call(&set_verdict(7, "back")).is_ok());
+    let withdrawn =
         || call(&AdminRequest::Status).unwrap()["editions"].to_string().matches("withdrawn").count() == 4;
     for _ in 0..2000 {
-        if gone() {
+        if withdrawn() {
             break;
         }
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert!(gone(), "{}", call(&AdminRequest::Status).unwrap());
+    assert!(withdrawn(), "{}", call(&AdminRequest::Status).unwrap());
     host.stop();
 }
 
-type Told = Sender<(u64, Vec<u8>)>;
+type CommitSender = Sender<(u64, Vec<u8>)>;
 
-/// A record that instances share, with a leader and a link to each of them that can be cut.
+/// A record shared by several instances, with a leader and a link to each instance that can be cut.
 #[derive(Default)]
 struct Register {
     value: (u64, Vec<u8>),
     leader: usize,
-    /// So many values that are put get lost.
-    lose: usize,
-    members: Vec<(bool, Told)>,
+    /// Number of proposals still to be lost.
+    proposals_to_lose: usize,
+    /// Whether each member is cut off, and its link.
+    members: Vec<(bool, CommitSender)>,
 }
 
 struct Member(usize, Arc<Mutex<Register>>, Receiver<(u64, Vec<u8>)>);
@@ -254,12 +256,12 @@
     fn is_leader(&self) -> bool {
         self.1.lock().unwrap().leader == self.0
     }
-    fn propose(&self, after: u64, number: u64, body: Vec<u8>) {
+    fn propose(&self, after: u64, revision: u64, body: Vec<u8>) {
         let mut register = self.1.lock().unwrap();
-        if register.lose > 0 {
-            register.lose -= 1;
+        if register.proposals_to_lose > 0 {
+            register.proposals_to_lose -= 1;
         } else if register.value.0 == after {
-            register.value = (number, body);
+            register.value = (revision, body);
             let value = register.value.clone();
             register
                 .members
@@ -273,66 +275,70 @@
     }
 }
 
-/// Two instances of one service under one gate: whoever leads moves it, both are told the same, and one that is cut off
-/// hears nothing more, so that what is on its way runs out there.
+/// Two instances of one service share a state: the leader advances it and both send the same tables. An instance that is
+/// cut off sends none, so that editions in rollout expire there.
 #[test]
-fn instances_share_one_state_and_one_that_is_cut_off_is_told_nothing_more() {
+fn instances_share_one_state_and_one_that_is_cut_off_sends_no_tables() {
     let folder = Folder::new("gate-shared").unwrap();
     let register: Arc<Mutex<Register>> = Arc::default();
     let start = |at: usize| {
-        let (send, kept) = unbounded();
+        let (send, commits) = unbounded();
         register.lock().unwrap().members.push((false, send));
-        let mut own = settings(&folder.0, "0.02");
-        own.admin = milletwing_toy::free().unwrap();
-        (Host::start_shared(own.clone(), Box::new(Member(at, register.clone(), kept))).unwrap(), own.admin)
+        let mut own_settings = settings(&folder.0, "0.02");
+        own_settings.admin = milletwing_toy::free().unwrap();
+        (
+            Host::start_shared(own_settings.clone(), Box::new(Member(at, register.clone(), commits)))
+                .unwrap(),
+            own_settings.admin,
+        )
     };
     register.lock().unwrap().leader = 9;
     let hosts = [start(0), start(1)];
-    let told = [attach(&hosts[0].0, 1).0, attach(&hosts[1].0, 1).0];
-    assert!(told.iter().all(|told| table(told).in_rollout.is_empty()), "nobody leads yet");
-    register.lock().unwrap().lose = 1; // put again after a while
+    let tables = [attach(&hosts[0].0, 1).0, attach(&hosts[1].0, 1).0];
+    assert!(tables.iter().all(|tables| next_table(tables).in_rollout.is_empty()), "no instance leads yet");
+    register.lock().unwrap().proposals_to_lose = 1; // the leader proposes again after a time-out
     register.lock().unwrap().leader = 0;
-    let moving = |told: &Receiver<Note>| {
-        std::iter::repeat_with(|| table(told)).find(|t| !t.in_rollout.is_empty()).unwrap()
+    let table_in_rollout = |tables: &Receiver<Note>| {
+        std::iter::repeat_with(|| next_table(tables)).find(|t| !t.in_rollout.is_empty()).unwrap()
     };
-    let [first, other] = [moving(&told[0]), moving(&told[1])];
+    let [first, other] = [table_in_rollout(&tables[0]), table_in_rollout(&tables[1])];
     assert_eq!((first.version, &first.in_rollout), (other.version, &other.in_rollout));
-    let say = |verdict: &str| AdminRequest::SetVerdict {
+    let set_verdict = |verdict: &str| AdminRequest::SetVerdict {
         service: "prensa".into(),
         build: 7,
         verdict: verdict.into(),
     };
-    let refused = milletwing_admin::call(hosts[1].1, &say("on")).unwrap_err();
+    let refused = milletwing_admin::call(hosts[1].1, &set_verdict("on")).unwrap_err();
     assert!(refused.contains("does not lead its group"), "{refused}");
-    milletwing_admin::call(hosts[0].1, &say("on")).unwrap();
-    let out = |told: &Receiver<Note>| {
+    milletwing_admin::call(hosts[0].1, &set_verdict("on")).unwrap();
+    let table_released = |tables: &Receiver<Note>| {
         let entry = (Build(7), ZoneId(1), TenantId(1));
-        std::iter::repeat_with(|| table(told)).find(|table| table.released.contains(&entry)).unwrap()
+        std::iter::repeat_with(|| next_table(tables)).find(|table| table.released.contains(&entry)).unwrap()
     };
-    assert_eq!(out(&told[0]).released, out(&told[1]).released);
-    // Cut off: the other one goes on and withdraws; this one is told nothing of either.
+    assert_eq!(table_released(&tables[0]).released, table_released(&tables[1]).released);
+    // Instance 0 is cut off. Instance 1 continues and withdraws the edition; instance 0 learns of neither.
     register.lock().unwrap().members[0].0 = true;
     register.lock().unwrap().leader = 1;
-    milletwing_admin::call(hosts[1].1, &say("back")).unwrap();
-    let gone = |told: &Receiver<Note>| {
-        std::iter::repeat_with(|| table(told))
+    milletwing_admin::call(hosts[1].1, &set_verdict("back")).unwrap();
+    let table_withdrawn = |tables: &Receiver<Note>| {
+        std::iter::repeat_with(|| next_table(tables))
             .find(|table| !table.released.iter().any(|(b, ..)| *b == Build(7)))
     };
-    gone(&told[1]).unwrap();
+    table_withdrawn(&tables[1]).unwrap();
     std::thread::sleep(Duration::from_millis(300));
-    while told[0].try_recv().is_ok() {}
+    while tables[0].try_recv().is_ok() {}
     assert!(
-        told[0].recv_timeout(Duration::from_millis(2500)).is_err(),
-        "a table would have been renewed by now"
+        tables[0].recv_timeout(Duration::from_millis(2500)).is_err(),
+        "a table was sent although the instance is cut off"
     );
-    // Back again, it takes on what it missed.
+    // Reconnected, instance 0 takes over the latest state.
     register.lock().unwrap().members[0].0 = false;
-    gone(&told[0]).unwrap();
+    table_withdrawn(&tables[0]).unwrap();
 }
 
-/// A process that is killed between any two writes finds its journal whole: each is one transaction.
+/// A crash between two writes leaves the journal consistent, since each write is one transaction.
 #[test]
-fn changes_of_one_step_stand_together_or_not_at_all() {
+fn changes_of_one_step_are_written_atomically() {
     let folder = Folder::new("journal-step").unwrap();
     let path = folder.0.join("a.redb");
     let settings = settings(&folder.0, "0.02");
