--- a/crates/releases-server/src/host.rs
+++ b/crates/releases-server/src/host.rs
@@ -5,7 +5,7 @@
 use crate::journal::{Journal, OperatorAdditions};
 use crate::settings::{parse_exemption, parse_freeze, ExemptionSettings, FreezeSettings, Settings};
 use crossbeam_channel::{bounded, never, select, tick, Receiver, Sender};
-use milletwing_admin::Asked;
+use milletwing_admin::PendingCall;
 use milletwing_decision::interface::{
     Build, Event, Ms, PermitTable, Phase as StagePhase, Settings as DecisionSettings, StageReport, TenantId,
     Vote, ZoneId,
@@ -310,7 +310,7 @@
     fn run(
         &mut self,
         command_receiver: &Receiver<Command>,
-        request_receiver: &Receiver<Asked<AdminRequest>>,
+        request_receiver: &Receiver<PendingCall<AdminRequest>>,
     ) -> Result<(), String> {
         let ticks = tick(TICK_INTERVAL);
         let commits = match &self.store {
@@ -643,14 +643,15 @@
     customer: Option<&str>,
 ) -> Result<Value, String> {
     let model = engine.model();
-    let find = |list: &[String], what: &str, name: &str| {
+    let index_of = |list: &[String], what: &str, name: &str| {
         list.iter().position(|other| other == name).ok_or_else(|| format!("there is no {what} {name}"))
     };
-    let only = building.map(|name| find(&model.buildings, "building", name)).transpose()?;
-    let customer = customer.map(|name| find(&model.customers, "customer", name)).transpose()?;
+    let requested = building.map(|name| index_of(&model.buildings, "building", name)).transpose()?;
+    let customer = customer.map(|name| index_of(&model.customers, "customer", name)).transpose()?;
     let table = engine.release_table();
-    let places = (0..model.buildings.len()).filter(|at| only.is_none_or(|only| only == *at));
-    let rows: Vec<Value> = places
+    let buildings =
+        (0..model.buildings.len()).filter(|at| requested.is_none_or(|requested| requested == *at));
+    let rows: Vec<Value> = buildings
         .map(|building| {
             let progress = engine.state().progress(edition, building);
             let entry = customer.map(|customer| (edition, building, customer));
--- a/crates/releases-server/src/settings.rs
+++ b/crates/releases-server/src/settings.rs
@@ -3,7 +3,7 @@
 
 use jiff::civil::DateTime;
 use jiff::tz::TimeZone;
-use milletwing_admin::line_of;
+use milletwing_admin::field_line_number;
 use milletwing_releases::calendar::{
     resolve_local_time, Exemption, Freeze, FreezeMode, FreezePeriod, FreezeScope,
 };
@@ -245,7 +245,8 @@
     pub fn parse(text: &str) -> Result<Settings, String> {
         let file: SettingsFile =
             json5::from_str(text).map_err(|problem| problem.to_string().replace('\n', " "))?;
-        let invalid = |field: &str, why: String| format!("line {}: {field}: {why}", line_of(text, field));
+        let invalid =
+            |field: &str, why: String| format!("line {}: {field}: {why}", field_line_number(text, field));
         let zone = TimeZone::get(&file.time_zone).map_err(|_| {
             invalid("time_zone", format!("`{}` is no time zone", file.time_zone.escape_debug()))
         })?;
