--- a/crates/releases/src/calendar.rs
+++ b/crates/releases/src/calendar.rs
@@ -97,7 +97,7 @@
 }
 
 impl Freeze {
-    /// Checks that it has a valid start and ends after that.
+    /// Checks that its start and end are valid times, and that a single interval ends after it starts.
     pub fn validate(&self) -> Result<(), String> {
         match self.period {
             FreezePeriod::Once(from, to) if to <= from => {
@@ -164,33 +164,33 @@
     (edition, building, customers): (Edition, BuildingId, &[CustomerId]),
     (from, to): (Time, Time),
 ) -> Vec<FrozenInterval> {
-    let mut spans: Vec<FrozenInterval> = Vec::new();
+    let mut intervals: Vec<FrozenInterval> = Vec::new();
     for freeze in freezes.iter().filter(|freeze| freeze.scope.covers(edition.service, building, customers)) {
         let exempt_until = exemptions
             .iter()
-            .filter(|e| e.freeze == freeze.name && e.edition == edition)
-            .map(|e| e.until)
+            .filter(|exemption| exemption.freeze == freeze.name && exemption.edition == edition)
+            .map(|exemption| exemption.until)
             .max();
         for (start, end) in freeze.intervals_between(from, to) {
             let start = exempt_until.map_or(start, |until| start.max(until));
             if start < end {
-                spans.push(FrozenInterval { from: start, to: end, mode: freeze.mode });
+                intervals.push(FrozenInterval { from: start, to: end, mode: freeze.mode });
             }
         }
     }
-    let mut edges: Vec<Time> = spans.iter().flat_map(|span| [span.from, span.to]).collect();
+    let mut edges: Vec<Time> = intervals.iter().flat_map(|interval| [interval.from, interval.to]).collect();
     edges.sort_unstable();
     edges.dedup();
-    let mut out: Vec<FrozenInterval> = Vec::new();
+    let mut merged: Vec<FrozenInterval> = Vec::new();
     for pair in edges.windows(2) {
-        let here = spans.iter().filter(|span| span.from <= pair[0] && pair[1] <= span.to);
-        let Some(mode) = here.map(|span| span.mode).max() else { continue };
-        match out.last_mut() {
+        let covering = intervals.iter().filter(|interval| interval.from <= pair[0] && pair[1] <= interval.to);
+        let Some(mode) = covering.map(|interval| interval.mode).max() else { continue };
+        match merged.last_mut() {
             Some(last) if last.to == pair[0] && last.mode == mode => last.to = pair[1],
-            _ => out.push(FrozenInterval { from: pair[0], to: pair[1], mode }),
+            _ => merged.push(FrozenInterval { from: pair[0], to: pair[1], mode }),
         }
     }
-    out
+    merged
 }
 
 /// Start and end of the earliest slot for a tranche of the given length, not before `from`. A tranche never starts within
@@ -199,20 +199,20 @@
 pub fn earliest_slot(frozen: &[FrozenInterval], from: Time, length: i64) -> (Time, Time) {
     let mut start = from;
     'retry: loop {
-        if let Some(span) = frozen.iter().find(|span| span.from <= start && start < span.to) {
-            start = span.to;
+        if let Some(interval) = frozen.iter().find(|interval| interval.from <= start && start < interval.to) {
+            start = interval.to;
             continue;
         }
         let mut end = start + length;
-        for span in frozen.iter().filter(|span| span.from >= start) {
-            if span.from >= end {
+        for interval in frozen.iter().filter(|interval| interval.from >= start) {
+            if interval.from >= end {
                 break;
             }
-            match span.mode {
+            match interval.mode {
                 FreezeMode::Finish => {}
-                FreezeMode::Hold => end += span.to - span.from,
+                FreezeMode::Hold => end += interval.to - interval.from,
                 FreezeMode::Rollback => {
-                    start = span.to;
+                    start = interval.to;
                     continue 'retry;
                 }
             }
--- a/crates/releases/src/engine/waits.rs
+++ b/crates/releases/src/engine/waits.rs
@@ -80,9 +80,9 @@
 
     /// An edition and all those that it is mutually dependent with.
     pub(super) fn unit_of(&self, edition: Edition) -> Vec<Edition> {
-        let with =
+        let mutual =
             self.model.editions.keys().copied().filter(|other| self.are_mutually_dependent(edition, *other));
-        std::iter::once(edition).chain(with).collect()
+        std::iter::once(edition).chain(mutual).collect()
     }
 
     /// Mode, name and end of the strictest freeze in force for a tranche by either clock.
@@ -100,11 +100,11 @@
                 let tranche_key = (edition, building, customers.as_slice());
                 let intervals = frozen_intervals(single, &self.model.exemptions, tranche_key, (now, now + 1));
                 let Some(FrozenInterval { mode, to, .. }) =
-                    intervals.iter().find(|c| c.from <= now && now < c.to).copied()
+                    intervals.iter().find(|interval| interval.from <= now && now < interval.to).copied()
                 else {
                     continue;
                 };
-                if strictest.as_ref().is_none_or(|(most, ..)| *most < mode) {
+                if strictest.as_ref().is_none_or(|(strictest_mode, ..)| *strictest_mode < mode) {
                     strictest = Some((mode, freeze.name.clone(), to));
                 }
             }
--- a/crates/releases/src/planner.rs
+++ b/crates/releases/src/planner.rs
@@ -407,12 +407,16 @@
         if finish <= self.lower_bound() {
             self.optimal = true;
         } else if self.jobs.len() <= MAX_EXHAUSTIVE_JOBS {
-            let mut search =
-                Search { least: finish, placed: self.placed.clone(), nodes: 0, tails: tails.clone() };
+            let mut search = Search {
+                best_finish: finish,
+                best_placed: self.placed.clone(),
+                nodes: 0,
+                tails: tails.clone(),
+            };
             self.clear();
             search.branch(self, self.now);
             self.optimal = search.nodes < MAX_SEARCH_NODES;
-            self.placed = search.placed;
+            self.placed = search.best_placed;
         }
     }
 
@@ -507,14 +511,15 @@
             let job = &mut self.jobs[at];
             let editions = &self.units[job.unit];
             for (tranche, part) in job.tranches.iter_mut().enumerate() {
-                let out = |edition: &Edition| state.progress(*edition, job.building).tranches_done > tranche;
-                if editions.iter().all(out) {
+                let released =
+                    |edition: &Edition| state.progress(*edition, job.building).tranches_done > tranche;
+                if editions.iter().all(released) {
                     *part = None;
                 }
             }
             // A reverted unit is not scheduled, nor are its successors.
-            let stays = !(reverted && job.unit == unit);
-            if let Some(placed) = if stays { self.earliest(at) } else { None } {
+            let schedulable = !(reverted && job.unit == unit);
+            if let Some(placed) = if schedulable { self.earliest(at) } else { None } {
                 self.place(at, placed);
             }
         }
@@ -522,20 +527,25 @@
 }
 
 /// Merges frozen intervals of several editions into disjoint ones; where they overlap, the strictest mode counts.
-fn merge_frozen(mut spans: Vec<FrozenInterval>) -> Vec<FrozenInterval> {
-    spans.sort_by_key(|span| span.from);
-    if spans.windows(2).all(|pair| pair[0].to <= pair[1].from) {
-        return spans;
+fn merge_frozen(mut intervals: Vec<FrozenInterval>) -> Vec<FrozenInterval> {
+    intervals.sort_by_key(|interval| interval.from);
+    if intervals.windows(2).all(|pair| pair[0].to <= pair[1].from) {
+        return intervals;
     }
-    let mut edges: Vec<Time> = spans.iter().flat_map(|span| [span.from, span.to]).collect();
+    let mut edges: Vec<Time> = intervals.iter().flat_map(|interval| [interval.from, interval.to]).collect();
     edges.sort_unstable();
     edges.dedup();
-    let within =
-        |a: Time, b: Time| spans.iter().filter(move |s| s.from <= a && b <= s.to).map(|s| s.mode).max();
+    let strictest_mode = |a: Time, b: Time| {
+        intervals
+            .iter()
+            .filter(move |interval| interval.from <= a && b <= interval.to)
+            .map(|interval| interval.mode)
+            .max()
+    };
     edges
         .windows(2)
         .filter_map(|pair| {
-            Some(FrozenInterval { from: pair[0], to: pair[1], mode: within(pair[0], pair[1])? })
+            Some(FrozenInterval { from: pair[0], to: pair[1], mode: strictest_mode(pair[0], pair[1])? })
         })
         .collect()
 }
@@ -543,40 +553,44 @@
 /// Branch and bound over the orders in which jobs are placed.
 struct Search {
     /// Finish of the best schedule found.
-    least: Time,
+    best_finish: Time,
     /// The best schedule found.
-    placed: Vec<Option<Placed>>,
+    best_placed: Vec<Option<Placed>>,
     /// Number of nodes visited.
     nodes: usize,
+    /// See `Planner::tails`.
     tails: Vec<i64>,
 }
 
 impl Search {
+    /// Visits all orders that extend the planner's current schedule, except those that can't finish before the best one
+    /// found. `finish` is the finish of the current schedule.
     fn branch(&mut self, planner: &mut Planner<'_>, finish: Time) {
         self.nodes += 1;
         if self.nodes >= MAX_SEARCH_NODES {
             return;
         }
-        let open: Vec<usize> = (0..planner.jobs.len()).filter(|at| planner.placed[*at].is_none()).collect();
-        if open.is_empty() {
-            if finish < self.least {
-                (self.least, self.placed) = (finish, planner.placed.clone());
+        let unplaced: Vec<usize> =
+            (0..planner.jobs.len()).filter(|at| planner.placed[*at].is_none()).collect();
+        if unplaced.is_empty() {
+            if finish < self.best_finish {
+                (self.best_finish, self.best_placed) = (finish, planner.placed.clone());
             }
             return;
         }
-        let mut next: Vec<(i64, usize, Placed)> = Vec::new();
-        for at in open {
+        let mut candidates: Vec<(i64, usize, Placed)> = Vec::new();
+        for at in unplaced {
             let Some(placed) = planner.earliest(at) else { continue };
             // The tail of an unplaced job bounds the finish from below, whatever the order.
-            if placed.start + self.tails[at] >= self.least {
+            if placed.start + self.tails[at] >= self.best_finish {
                 return;
             }
-            next.push((-self.tails[at], at, placed));
+            candidates.push((-self.tails[at], at, placed));
         }
-        next.sort_by_key(|(rank, at, _)| (*rank, *at));
-        for (_, at, placed) in next {
+        candidates.sort_by_key(|(rank, at, _)| (*rank, *at));
+        for (_, at, placed) in candidates {
             let finish = finish.max(placed.end);
-            if finish < self.least {
+            if finish < self.best_finish {
                 planner.place(at, placed);
                 self.branch(planner, finish);
                 planner.unplace(at);
--- a/crates/releases/tests/whole/planner.rs
+++ b/crates/releases/tests/whole/planner.rs
@@ -58,18 +58,18 @@
     let mut edges: Vec<i64> = spans.values().flat_map(|(start, end)| [*start, *end]).collect();
     edges.sort_unstable();
     for at in edges {
-        let open = |building: Option<usize>| {
-            let here = spans.iter().filter(|((_, b), _)| building.is_none_or(|only| only == *b));
-            here.filter(|(_, (start, end))| *start <= at && at < *end).count()
+        let jobs_at = |building: Option<usize>| {
+            let in_building = spans.iter().filter(|((_, b), _)| building.is_none_or(|only| only == *b));
+            in_building.filter(|(_, (start, end))| *start <= at && at < *end).count()
         };
-        assert!(open(None) <= model.budgets.overall);
+        assert!(jobs_at(None) <= model.budgets.overall);
         (0..model.buildings.len())
-            .for_each(|b| assert!(open(Some(b)) <= model.budgets.building, "at {at} in {b}"));
+            .for_each(|b| assert!(jobs_at(Some(b)) <= model.budgets.building, "at {at} in {b}"));
     }
 }
 
 /// The earliest finish over all orders in which jobs may be placed, each as early as possible. Does not use the planner.
-fn exhaustive(model: &Model) -> i64 {
+fn earliest_finish(model: &Model) -> i64 {
     let unit_list = ordered_units(model).unwrap();
     let unit_list: Vec<_> = unit_list
         .into_iter()
@@ -97,20 +97,20 @@
         model: &Model,
         unit_list: &[Vec<Edition>],
         jobs: &[(usize, usize)],
-        done: &mut BTreeMap<(usize, usize), (i64, i64)>,
+        placed: &mut BTreeMap<(usize, usize), (i64, i64)>,
     ) -> i64 {
-        if done.len() == jobs.len() {
-            return done.values().map(|(_, end)| *end).max().unwrap_or(0);
+        if placed.len() == jobs.len() {
+            return placed.values().map(|(_, end)| *end).max().unwrap_or(0);
         }
         let mut least = i64::MAX;
         for job in jobs {
-            if done.contains_key(job) {
+            if placed.contains_key(job) {
                 continue;
             }
             let mut from = 0;
             let mut ready = true;
             for edition in &unit_list[job.0] {
-                let mut before: Vec<(Edition, DependencyScope)> = model.editions[edition]
+                let mut predecessors: Vec<(Edition, DependencyScope)> = model.editions[edition]
                     .dependencies
                     .iter()
                     .filter(|dependency| {
@@ -120,7 +120,7 @@
                         (model.editions_satisfying(*dependency).next().unwrap(), dependency.scope)
                     })
                     .collect();
-                before.extend(
+                predecessors.extend(
                     model
                         .editions
                         .range(..*edition)
@@ -128,7 +128,7 @@
                         .filter(|(o, p)| o.service == edition.service && !p.released)
                         .map(|(o, _)| (*o, DependencyScope::Building)),
                 );
-                for (other, scope) in before {
+                for (other, scope) in predecessors {
                     let unit = unit_list.iter().position(|unit| unit.contains(&other)).unwrap();
                     if unit == job.0 {
                         continue;
@@ -139,7 +139,7 @@
                         job.1..job.1 + 1
                     };
                     for place in places {
-                        match done.get(&(unit, place)) {
+                        match placed.get(&(unit, place)) {
                             Some((_, end)) => from = from.max(*end),
                             None => ready = false,
                         }
@@ -152,23 +152,23 @@
             let size = unit_list[job.0].len();
             let (start, end) = loop {
                 let (start, end) = place(model, &unit_list[job.0], job.1, from);
-                let taken = |at: i64, only: Option<usize>| -> usize {
-                    let open = done
+                let used = |at: i64, only: Option<usize>| -> usize {
+                    let open = placed
                         .iter()
                         .filter(|((_, b), (s, e))| only.is_none_or(|o| o == *b) && *s <= at && at < *e);
                     open.map(|((u, _), _)| unit_list[*u].len()).sum()
                 };
                 let full = |at: i64| {
-                    taken(at, None) + size > model.budgets.overall
-                        || taken(at, Some(job.1)) + size > model.budgets.building
+                    used(at, None) + size > model.budgets.overall
+                        || used(at, Some(job.1)) + size > model.budgets.building
                 };
                 let mut edges: Vec<i64> =
-                    done.values().map(|(s, _)| *s).filter(|s| start < *s && *s < end).collect();
+                    placed.values().map(|(s, _)| *s).filter(|s| start < *s && *s < end).collect();
                 edges.push(start);
                 match edges.into_iter().any(full) {
                     false => break (start, end),
                     true => {
-                        from = done
+                        from = placed
                             .values()
                             .map(|(_, e)| *e)
                             .filter(|e| *e > from.max(0))
@@ -178,9 +178,9 @@
                     }
                 }
             };
-            done.insert(*job, (start, end));
-            least = least.min(search(model, unit_list, jobs, done));
-            done.remove(job);
+            placed.insert(*job, (start, end));
+            least = least.min(search(model, unit_list, jobs, placed));
+            placed.remove(job);
         }
         least
     }
@@ -229,7 +229,7 @@
         let schedule = plan(&m);
         check_schedule(&m, &schedule);
         assert!(schedule.unschedulable.is_empty());
-        let least = exhaustive(&m);
+        let least = earliest_finish(&m);
         assert_eq!(schedule.finish, least, "seed {seed}");
         assert!(schedule.lower_bound <= least, "seed {seed}");
         searched += usize::from(schedule.lower_bound < least);
