--- a/crates/releases/src/engine/withdrawal.rs
+++ b/crates/releases/src/engine/withdrawal.rs
@@ -56,20 +56,21 @@
         self.advance_withdrawal(changes);
     }
 
-    /// Whether an edition has a dependency that only editions in `affected` satisfy.
+    /// Whether an edition has a dependency that an edition in `affected` satisfies, and that no other edition satisfies in
+    /// all buildings where a rollout of this edition has started.
     pub(super) fn loses_dependency(&self, edition: Edition, affected: &BTreeSet<Edition>) -> bool {
         let Some(spec) = self.model.editions.get(&edition) else { return false };
         spec.dependencies.iter().any(|dependency| {
-            let mut others = self.model.editions_satisfying(*dependency);
+            let mut candidates = self.model.editions_satisfying(*dependency);
             let is_affected =
                 self.model.editions_satisfying(*dependency).any(|other| affected.contains(&other));
             is_affected
-                && !others.any(|other| {
+                && !candidates.any(|other| {
                     !affected.contains(&other)
                         && (0..self.model.buildings.len()).all(|b| {
-                            let there = self.state.progress(edition, b);
+                            let progress = self.state.progress(edition, b);
                             self.is_released(other, b)
-                                || (there.tranches_done == 0 && there.phase == Phase::Waiting)
+                                || (progress.tranches_done == 0 && progress.phase == Phase::Waiting)
                         })
                 })
         })
--- a/crates/releases/src/units.rs
+++ b/crates/releases/src/units.rs
@@ -21,6 +21,7 @@
         .collect())
 }
 
+/// The graph of all editions, with an edge from each to those that must be released after it, and the editions' nodes.
 fn dependency_graph(model: &Model) -> (DiGraph<Edition, ()>, BTreeMap<Edition, NodeIndex>) {
     let mut graph = DiGraph::new();
     let nodes: BTreeMap<Edition, NodeIndex> =
@@ -50,14 +51,15 @@
 pub fn dependency_depths(model: &Model) -> BTreeMap<Edition, usize> {
     let (graph, _) = dependency_graph(model);
     let condensed = petgraph::algo::condensation(graph, true);
-    let mut depth: BTreeMap<NodeIndex, usize> = BTreeMap::new();
+    let mut depths: BTreeMap<NodeIndex, usize> = BTreeMap::new();
     for node in toposort(&condensed, None).unwrap_or_default() {
         let before = condensed.neighbors_directed(node, petgraph::Direction::Incoming);
-        let own = before.filter_map(|before| depth.get(&before)).max().map_or(0, |deepest| deepest + 1);
-        depth.insert(node, own);
+        let own_depth =
+            before.filter_map(|before| depths.get(&before)).max().map_or(0, |deepest| deepest + 1);
+        depths.insert(node, own_depth);
     }
     condensed
         .node_indices()
-        .flat_map(|n| condensed[n].iter().map(|e| (*e, depth[&n])).collect::<Vec<_>>())
+        .flat_map(|node| condensed[node].iter().map(|edition| (*edition, depths[&node])).collect::<Vec<_>>())
         .collect()
 }
