--- a/crates/group-server/src/node.rs
+++ b/crates/group-server/src/node.rs
@@ -16,10 +16,10 @@
 use milletwing_group::grant::PeerNote;
 use milletwing_group::record::Standing;
 use milletwing_group::{Member, Options, Output};
-use milletwing_marshal::place::Place;
-use milletwing_marshal::server::Joining;
-use milletwing_marshal::stage::{Ballot, Grouping, Guard, Note, Voting};
-use milletwing_marshal::wire::{self, Told};
+use milletwing_marshal::endpoint::Endpoint;
+use milletwing_marshal::ports::{DecisionInput, GroupObserver, Guard, VoteRequest, VoteSender};
+use milletwing_marshal::server::GroupJoiner;
+use milletwing_marshal::wire::{self, PlatformLine};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Write};
@@ -88,25 +88,25 @@
     over: Arc<AtomicBool>,
 }
 
-impl Voting for Ports {
-    fn cast(&self, ballot: Ballot) -> bool {
-        let Ballot { number, build, stage, vote, .. } = ballot;
+impl VoteSender for Ports {
+    fn cast(&self, ballot: VoteRequest) -> bool {
+        let VoteRequest { number, build, stage, vote, .. } = ballot;
         !self.over.load(SeqCst)
             && self.words.try_send(Word::Cast(Wanted { number, build, stage, vote })).is_ok()
     }
 }
 
-impl Grouping for Ports {
-    fn seen(&self, evidence: Evidence) {
+impl GroupObserver for Ports {
+    fn evidence_collected(&self, evidence: Evidence) {
         let _ = self.words.try_send(Word::Seen(evidence)); // the next one holds all of it
     }
-    fn judged(&self, build: Build, stage: u32, vote: Vote) {
+    fn decision_proposed(&self, build: Build, stage: u32, vote: Vote) {
         let _ = self.words.try_send(Word::Judged(build, stage, vote)); // judged again at the next beat
     }
-    fn told(&self, news: &StageReport) {
+    fn stage_reported(&self, news: &StageReport) {
         let _ = self.words.try_send(Word::Told(news.clone())); // the platform tells again
     }
-    fn answered(&self, number: u64, news: &StageReport) {
+    fn vote_answered(&self, number: u64, news: &StageReport) {
         let _ = self.words.try_send(Word::Answered(number, news.clone())); // settled by a read otherwise
     }
 }
@@ -125,9 +125,9 @@
     member: Member,
     store: Store,
     links: Links,
-    notes: Sender<Note>,
-    ballots: Sender<Ballot>,
-    platform: Arc<Place>,
+    notes: Sender<DecisionInput>,
+    ballots: Sender<VoteRequest>,
+    platform: Arc<Endpoint>,
     words: Sender<Word>,
     guard: Arc<LeaseGuard>,
     base: Instant,
@@ -153,7 +153,7 @@
     }
 }
 
-impl Joining for Joiner {
+impl GroupJoiner for Joiner {
     fn settings(&self, decisions: &mut Decisions) {
         decisions.group_decisions = true;
     }
@@ -161,10 +161,10 @@
     fn join(
         self: Box<Self>,
         decisions: &Decisions,
-        notes: Sender<Note>,
-        ballots: Sender<Ballot>,
-        platform: Arc<Place>,
-    ) -> io::Result<(Box<dyn Voting>, Box<dyn Grouping>)> {
+        notes: Sender<DecisionInput>,
+        ballots: Sender<VoteRequest>,
+        platform: Arc<Endpoint>,
+    ) -> io::Result<(Box<dyn VoteSender>, Box<dyn GroupObserver>)> {
         let wrong = |why: String| io::Error::other(format!("group: {why}"));
         let Joiner { settings, words: (words, heard), kept: (kept, _), leads } = *self;
         let (store, stored) = Store::open(&settings).map_err(wrong)?;
@@ -241,7 +241,7 @@
         over.store(true, SeqCst);
         self.leads.store(false, SeqCst);
         self.links.end();
-        let news = |news| Note::Told(Event::GroupMessage(news));
+        let news = |news| DecisionInput::Event(Event::GroupMessage(news));
         let _ = self.notes.send(news(GroupMessage::Leadership(false))); // it may have ended
         if let Some(standing) = &self.member.record().standing {
             let _ = self.notes.send(news(GroupMessage::ExposureGrant(standing.build, 0.0)));
@@ -288,7 +288,7 @@
                 recv(ticks) -> _ => {}
             }
             let _ = asked;
-            if self.platform.over() {
+            if self.platform.is_closed() {
                 return Ok(());
             }
             let now = self.now();
@@ -358,13 +358,13 @@
                     self.links.send(to, NOTE, bytes);
                 }
                 Output::News(news) => {
-                    let _ = self.notes.send(Note::Told(Event::GroupMessage(news)));
+                    let _ = self.notes.send(DecisionInput::Event(Event::GroupMessage(news)));
                     // it ends only with us
                 }
                 Output::Call(Wanted { number, build, stage, vote }) => {
                     let guard = self.alone.then(|| -> Arc<dyn Guard> { self.guard.clone() });
                     log::info!("group: calls: build {} stage {stage} {vote:?}", build.0);
-                    if self.ballots.try_send(Ballot { number, build, stage, vote, guard }).is_err() {
+                    if self.ballots.try_send(VoteRequest { number, build, stage, vote, guard }).is_err() {
                         self.unheard(number, Outcome::ConnectFailed);
                     }
                 }
@@ -379,7 +379,8 @@
 
     /// Tells the module, and by it ourselves, that a call was never made.
     fn unheard(&self, number: u64, verdict: Outcome) {
-        let _ = self.notes.send(Note::Vote(number, Err(verdict))); // it ends only with us
+        let _ = self.notes.send(DecisionInput::VoteAnswered(number, Err(verdict)));
+        // it ends only with us
     }
 
     /// Reads the platform's state on a connection of its own: what stands there now, not what was on its way.
@@ -387,7 +388,7 @@
         if self.reading.swap(true, SeqCst) {
             return; // asked again
         }
-        let (at, _) = self.platform.now();
+        let (at, _) = self.platform.current();
         let (words, reading) = (self.words.clone(), self.reading.clone());
         let thread = std::thread::Builder::new().name("group-read-platform".into()).stack_size(128 << 10);
         let spawned = thread.spawn(move || {
@@ -477,11 +478,11 @@
     let stream = TcpStream::connect_timeout(&at, READING)?;
     stream.set_read_timeout(Some(READING))?;
     stream.set_write_timeout(Some(READING))?;
-    (&stream).write_all(wire::SUBSCRIBE.as_bytes())?;
+    (&stream).write_all(wire::SUBSCRIBE_COMMAND.as_bytes())?;
     let until = Instant::now() + READING;
     for line in BufReader::new(&stream).lines() {
-        if let Told::Stage(state, phase) = wire::line(line?.trim_end()) {
-            return Ok(Standing::of(&wire::news(state, phase, false)));
+        if let PlatformLine::Stage(state, phase) = wire::parse_platform_line(line?.trim_end()) {
+            return Ok(Standing::of(&wire::stage_report(state, phase, false)));
         }
         if Instant::now() >= until {
             break;
--- a/crates/marshal/src/admit.rs
+++ b/crates/marshal/src/admit.rs
@@ -1,11 +1,11 @@
 //! Admission: from a request's head, its class, tenant, key, deadline and method; and the message for nodes.
 
-use crate::book::Open;
-use crate::buffers::Buffers;
+use crate::accounting::PendingRequest;
+use crate::buffers::BufferPool;
 use crate::client::Client;
 use crate::http::{Head, Malformed};
 use crate::limits::Limits;
-use crate::stage::Admitted;
+use crate::ports::AdmittedRequest;
 use crate::wire;
 use milletwing_decision::interface::{ClassId, Key, Ms, RequestId, RetrySafety, Settings, TenantId};
 use milletwing_profile::{index_of, Names};
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// What admission needs.
-pub struct Gate {
+pub struct AdmissionContext {
     /// The settings.
     pub settings: Settings,
     /// Their names.
@@ -21,74 +21,88 @@
     /// The limits.
     pub limits: Limits,
     /// The pool.
-    pub buffers: Buffers,
+    pub buffers: BufferPool,
 }
 
-fn bad<T>() -> Result<T, Malformed> {
+fn bad_request<T>() -> Result<T, Malformed> {
     Err(Malformed(400))
 }
 
-/// Reads one request. `came` is when its last byte was there: from then on its time counts, however slowly it came.
+/// Reads one request. `received_at` is when its last byte was there: from then on its time counts, however slowly it came.
 pub fn admit(
-    gate: &Gate,
+    context: &AdmissionContext,
     head: &Head<'_>,
     body: &[&[u8]],
     client: &Arc<Client>,
-    came: Instant,
-) -> Result<Admitted, Malformed> {
-    let id = head.get(wire::ID).unwrap_or("");
-    if id.is_empty() || id.len() > gate.limits.id || !id.bytes().all(|b| b.is_ascii_graphic()) {
-        return bad();
+    received_at: Instant,
+) -> Result<AdmittedRequest, Malformed> {
+    let id = head.get(wire::REQUEST_ID_HEADER).unwrap_or("");
+    if id.is_empty()
+        || id.len() > context.limits.max_request_id_bytes
+        || !id.bytes().all(|b| b.is_ascii_graphic())
+    {
+        return bad_request();
     }
-    let lane = head.get(wire::CLASS).unwrap_or("");
-    let Some(class) = index_of(&gate.names.classes, lane) else { return bad() };
+    let class_name = head.get(wire::CLASS_HEADER).unwrap_or("");
+    let Some(class) = index_of(&context.names.classes, class_name) else { return bad_request() };
     let class = ClassId(class as usize);
-    let effect = gate.settings.classes[class.0].retry_safety;
+    let retry_safety = context.settings.classes[class.0].retry_safety;
     // The class decides the method; another one would promise nodes what the class doesn't.
-    let fits = match effect {
+    let fits = match retry_safety {
         // One with a body is doubtful: not all machines read a body there.
         RetrySafety::Idempotent => head.method == "GET" && body.iter().all(|part| part.is_empty()),
         RetrySafety::Deduplicated => head.method == "POST" && head.get("Idempotency-Key").is_some(),
         RetrySafety::AtMostOnce => head.method == "POST",
     };
     if !fits {
-        return bad();
+        return bad_request();
     }
-    let wait = match head.get(wire::REMAINING) {
-        Some(text) => wire::remaining(text).ok_or(Malformed(400))?.min(gate.limits.longest_wait),
-        None => Duration::from_secs_f64(gate.settings.classes[class.0].client_timeout.0.max(0.0) / 1000.0),
+    let client_wait = match head.get(wire::REMAINING_HEADER) {
+        Some(text) => wire::parse_remaining(text).ok_or(Malformed(400))?.min(context.limits.max_client_wait),
+        None => Duration::from_secs_f64(context.settings.classes[class.0].client_timeout.0.max(0.0) / 1000.0),
     };
     let key = head.get("Cookie").and_then(|cookies| wire::cookie(cookies, wire::KEY_COOKIE));
-    let tenant = head.get(wire::TENANT).and_then(|name| index_of(&gate.names.tenants, name));
-    let mut message = gate.buffers.take();
-    let mut fits = message.put(head.method.as_bytes())
-        && message.put(b" ")
-        && message.put(head.target.as_bytes())
-        && message.put(b" HTTP/1.1\r\n");
-    for (name, value) in head.passed_on().filter(|(name, _)| !name.eq_ignore_ascii_case(wire::REMAINING)) {
+    let tenant = head.get(wire::TENANT_HEADER).and_then(|name| index_of(&context.names.tenants, name));
+    let mut message = context.buffers.take();
+    let mut fits = message.append(head.method.as_bytes())
+        && message.append(b" ")
+        && message.append(head.target.as_bytes())
+        && message.append(b" HTTP/1.1\r\n");
+    for (name, value) in
+        head.passed_on().filter(|(name, _)| !name.eq_ignore_ascii_case(wire::REMAINING_HEADER))
+    {
         fits = fits
-            && message.put(name.as_bytes())
-            && message.put(b": ")
-            && message.put(value)
-            && message.put(b"\r\n");
+            && message.append(name.as_bytes())
+            && message.append(b": ")
+            && message.append(value)
+            && message.append(b"\r\n");
     }
     let size: usize = body.iter().map(|part| part.len()).sum();
     if size > 0 || head.method != "GET" {
-        fits = fits && message.put(format!("Content-Length: {size}\r\n").as_bytes());
+        fits = fits && message.append(format!("Content-Length: {size}\r\n").as_bytes());
     }
     let body_at = message.bytes().len();
-    fits = fits && body.iter().all(|part| message.put(part));
+    fits = fits && body.iter().all(|part| message.append(part));
     if !fits {
         return Err(Malformed(413));
     }
-    let mut open = Open::new(RequestId(Arc::from(id)), client.clone(), message, body_at, came + wait);
-    open.once = effect == RetrySafety::AtMostOnce;
-    Ok(Admitted {
-        open: Arc::new(open),
+    let mut request = PendingRequest::new(
+        RequestId(Arc::from(id)),
+        client.clone(),
+        message,
+        body_at,
+        received_at + client_wait,
+    );
+    request.at_most_once = retry_safety == RetrySafety::AtMostOnce;
+    Ok(AdmittedRequest {
+        request: Arc::new(request),
         class,
         key: key.filter(|key| !key.is_empty()).map(|key| Key(Arc::from(key))),
         tenant: tenant.map(|at| TenantId(at as usize)),
-        work_hint: head.get(wire::LABELS).and_then(|text| wire::label(text, wire::LABEL_WORK)).map(Ms),
-        is_retry: head.get(wire::RETRY) == Some("1"),
+        work_hint: head
+            .get(wire::LABELS_HEADER)
+            .and_then(|text| wire::label(text, wire::WORK_HINT_LABEL))
+            .map(Ms),
+        is_retry: head.get(wire::RETRY_HEADER) == Some("1"),
     })
 }
--- a/crates/marshal/src/buffers.rs
+++ b/crates/marshal/src/buffers.rs
@@ -1,81 +1,81 @@
-//! Buffers of one size, used again from a pool.
+//! A pool of buffers of one size.
 
 use std::ops::Range;
 use std::sync::{Arc, Mutex, PoisonError};
 
-struct Shelf {
-    size: usize,
-    keep: usize,
-    spare: Mutex<Vec<Vec<u8>>>,
+struct Shared {
+    buffer_size: usize,
+    max_pooled: usize,
+    pooled: Mutex<Vec<Vec<u8>>>,
 }
 
-/// The pool.
+/// A pool of buffers.
 #[derive(Clone)]
-pub struct Buffers(Arc<Shelf>);
+pub struct BufferPool(Arc<Shared>);
 
-impl Buffers {
-    /// A pool of buffers of one size that keeps so many of them.
-    pub fn new(size: usize, keep: usize) -> Buffers {
-        Buffers(Arc::new(Shelf { size, keep, spare: Mutex::new(Vec::new()) }))
+impl BufferPool {
+    /// A pool of buffers of `buffer_size` bytes that keeps at most `max_pooled` of them for reuse.
+    pub fn new(buffer_size: usize, max_pooled: usize) -> BufferPool {
+        BufferPool(Arc::new(Shared { buffer_size, max_pooled, pooled: Mutex::new(Vec::new()) }))
     }
 
-    /// An empty buffer.
+    /// Takes an empty buffer.
     pub fn take(&self) -> Buffer {
-        let spare = self.0.spare.lock().unwrap_or_else(PoisonError::into_inner).pop();
-        let room = spare.unwrap_or_else(|| vec![0; self.0.size]);
-        Buffer { room, filled: 0, home: self.0.clone() }
+        let pooled = self.0.pooled.lock().unwrap_or_else(PoisonError::into_inner).pop();
+        let storage = pooled.unwrap_or_else(|| vec![0; self.0.buffer_size]);
+        Buffer { storage, filled: 0, pool: self.0.clone() }
     }
 
-    /// Buffers at rest.
-    pub fn spare(&self) -> usize {
-        self.0.spare.lock().unwrap_or_else(PoisonError::into_inner).len()
+    /// The number of buffers that wait for reuse.
+    pub fn pooled(&self) -> usize {
+        self.0.pooled.lock().unwrap_or_else(PoisonError::into_inner).len()
     }
 }
 
-/// A buffer; it returns to its pool by itself.
+/// A buffer that returns to its pool when dropped.
 pub struct Buffer {
-    room: Vec<u8>,
+    storage: Vec<u8>,
     filled: usize,
-    home: Arc<Shelf>,
+    pool: Arc<Shared>,
 }
 
 impl Buffer {
-    /// What was written.
+    /// The bytes written so far.
     pub fn bytes(&self) -> &[u8] {
-        &self.room[..self.filled]
+        &self.storage[..self.filled]
     }
-    /// The room that is left.
-    pub fn room(&mut self) -> &mut [u8] {
-        &mut self.room[self.filled..]
+    /// The unused space.
+    pub fn spare_capacity(&mut self) -> &mut [u8] {
+        &mut self.storage[self.filled..]
     }
-    /// Counts bytes that were put into the room.
-    pub fn grow(&mut self, by: usize) {
-        self.filled = (self.filled + by).min(self.room.len());
+    /// Marks bytes as filled that were written to the spare capacity.
+    pub fn advance(&mut self, by: usize) {
+        self.filled = (self.filled + by).min(self.storage.len());
     }
-    /// Appends bytes; false, and nothing appended, where they don't fit.
+    /// Appends bytes; returns false and appends nothing if they don't fit.
     #[must_use]
-    pub fn put(&mut self, bytes: &[u8]) -> bool {
-        let fits = bytes.len() <= self.room.len() - self.filled;
+    pub fn append(&mut self, bytes: &[u8]) -> bool {
+        let fits = bytes.len() <= self.storage.len() - self.filled;
         if fits {
-            self.room[self.filled..self.filled + bytes.len()].copy_from_slice(bytes);
+            self.storage[self.filled..self.filled + bytes.len()].copy_from_slice(bytes);
             self.filled += bytes.len();
         }
         fits
     }
-    /// Removes a part; what stands behind it moves up.
-    pub fn cut(&mut self, part: Range<usize>) {
-        let end = part.end.min(self.filled);
-        let start = part.start.min(end);
-        self.room.copy_within(end..self.filled, start);
+    /// Removes a range; the bytes after it move up.
+    pub fn remove(&mut self, range: Range<usize>) {
+        let end = range.end.min(self.filled);
+        let start = range.start.min(end);
+        self.storage.copy_within(end..self.filled, start);
         self.filled -= end - start;
     }
 }
 
 impl Drop for Buffer {
     fn drop(&mut self) {
-        let mut spare = self.home.spare.lock().unwrap_or_else(PoisonError::into_inner);
-        if spare.len() < self.home.keep {
-            spare.push(std::mem::take(&mut self.room));
+        let mut pooled = self.pool.pooled.lock().unwrap_or_else(PoisonError::into_inner);
+        if pooled.len() < self.pool.max_pooled {
+            pooled.push(std::mem::take(&mut self.storage));
         }
     }
 }
--- a/crates/marshal/src/clock.rs
+++ b/crates/marshal/src/clock.rs
@@ -1,9 +1,9 @@
-//! The clock: steady, but anchored once to Unix time, since discovery tells starts in it.
+//! A monotonic clock that is anchored once to Unix time, since discovery reports start times in Unix time.
 
 use milletwing_decision::interface::Ms;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A steady clock that shows Unix time.
+/// A monotonic clock that shows Unix time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -18,19 +18,19 @@
 }
 
 impl Clock {
-    /// A moment, in milliseconds of Unix time.
+    /// An instant as milliseconds of Unix time.
     pub fn ms(&self, at: Instant) -> Ms {
-        let past = at.saturating_duration_since(self.start);
-        Ms((self.unix + past).as_secs_f64() * 1000.0)
+        let elapsed = at.saturating_duration_since(self.start);
+        Ms((self.unix + elapsed).as_secs_f64() * 1000.0)
     }
-    /// The moment of a time in milliseconds of Unix time; one before the start is the start.
+    /// The instant of a time in milliseconds of Unix time; a time before the clock's start gives the start.
     pub fn instant(&self, at: Ms) -> Instant {
-        let past = at.0 / 1000.0 - self.unix.as_secs_f64();
-        self.start + span(Ms(past * 1000.0))
+        let elapsed = at.0 / 1000.0 - self.unix.as_secs_f64();
+        self.start + to_duration(Ms(elapsed * 1000.0))
     }
 }
 
-/// A span as the standard library's own; a negative one is zero, one beyond a day a day.
-pub fn span(ms: Ms) -> Duration {
+/// Converts milliseconds to a `Duration`, clamped to between zero and one day.
+pub fn to_duration(ms: Ms) -> Duration {
     Duration::from_secs_f64((ms.0 / 1000.0).clamp(0.0, 86_400.0))
 }
--- a/crates/marshal/src/config.rs
+++ b/crates/marshal/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration: a JSON file, and the variables that name it and may stand in for parts of it.
 
-use crate::discovery::Page;
+use crate::discovery::NodeList;
 use crate::limits::Grant;
 use crate::wire;
 use milletwing_decision::interface::{Settings, StageReport};
@@ -23,7 +23,7 @@
     /// The platform's state at the start, where it is told.
     pub news: Option<StageReport>,
     /// The list as last held.
-    pub known: Page,
+    pub known: NodeList,
     /// The grant.
     pub grant: Grant,
     /// For random numbers.
@@ -46,7 +46,7 @@
     limits: LimitsText,
     platform: PlatformText,
     #[serde(default)]
-    known: Page,
+    known: NodeList,
     settings: Box<RawValue>,
 }
 
@@ -123,7 +123,7 @@
             Some(news) => {
                 let phase = wire::phase(&news.progress)
                     .ok_or_else(|| format!("platform.news.progress: `{}`", news.progress.escape_debug()))?;
-                Some(wire::news([news.image, news.ring, news.ceiling, news.lag_ms], phase, false))
+                Some(wire::stage_report([news.image, news.ring, news.ceiling, news.lag_ms], phase, false))
             }
         };
         let seed = u64::from_str_radix(text.seed.trim_start_matches("0x"), 16)
@@ -171,8 +171,8 @@
             self.names.classes.len(),
             self.names.tenants.len(),
             self.known.servers.len(),
-            limits.clients,
-            limits.node_connections
+            limits.max_clients,
+            limits.max_node_connections
         )
     }
 }
--- a/crates/marshal/src/http.rs
+++ b/crates/marshal/src/http.rs
@@ -99,7 +99,9 @@
                 return Err(Malformed(400));
             }
             match text.parse::<usize>() {
-                Ok(length) if length <= if request { limits.body } else { limits.answer } => {
+                Ok(length)
+                    if length <= if request { limits.max_body_bytes } else { limits.max_response_bytes } =>
+                {
                     Ok(Framing::Length(length))
                 }
                 _ => Err(Malformed(413)),
@@ -116,8 +118,8 @@
     limits: &Limits,
 ) -> Result<Option<usize>, Malformed> {
     match parsed {
-        Ok(httparse::Status::Complete(length)) if length <= limits.head => Ok(Some(length)),
-        Ok(httparse::Status::Partial) if seen < limits.head => Ok(None),
+        Ok(httparse::Status::Complete(length)) if length <= limits.max_head_bytes => Ok(Some(length)),
+        Ok(httparse::Status::Partial) if seen < limits.max_head_bytes => Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(Malformed(431)),
         Err(_) => Err(Malformed(400)),
     }
@@ -160,7 +162,7 @@
 /// A chunked body as it comes in: where its parts stand. Goes on from where it was, so that bytes that come
 /// one by one cost no more than together.
 #[derive(Debug, Default)]
-pub struct Chunks {
+pub struct ChunkedBody {
     at: usize,
     trailer: bool,
     /// The parts of the body, by their places in the bytes.
@@ -169,7 +171,7 @@
     pub size: usize,
 }
 
-impl Chunks {
+impl ChunkedBody {
     /// Reads on in the bytes after the head; gives the length of the whole body as framed, once it is there.
     pub fn read(&mut self, bytes: &[u8], limits: &Limits) -> Result<Option<usize>, Malformed> {
         loop {
@@ -193,7 +195,7 @@
                 return Err(Malformed(400));
             }
             let size = usize::from_str_radix(text, 16).map_err(|_| Malformed(400))?;
-            if self.size + size > limits.body || self.parts.len() > limits.body / 16 {
+            if self.size + size > limits.max_body_bytes || self.parts.len() > limits.max_body_bytes / 16 {
                 return Err(Malformed(413));
             }
             if size == 0 {
--- a/crates/marshal/src/lib.rs
+++ b/crates/marshal/src/lib.rs
@@ -1,31 +1,33 @@
-//! A marshal on real sockets, to be embedded: it takes requests in, lets the decision module route them, and
-//! carries out what the module says. It chooses, ranks, times and judges nothing itself.
+//! An embeddable marshal on real sockets: it accepts requests, lets the decision module route them, and executes the
+//! actions that the module returns. All routing, ranking, timing and health decisions are made by the module.
 //!
-//! A request passes `intake` (accept, read), `admit` (its event), `route` (the one decision thread), `send`
-//! (one attempt at a node), `relay` (the client's answer) and `book` (who is owed what). What passes between them, and the ports that another host could fill,
-//! stand in `stage`; imports run one way. `discovery` and `platform` speak with the outside, at a `place` that `reload` may move; `wire` holds the users' names and forms.
+//! A request passes `intake` (accept, read), `admit` (validation and conversion to an event), `route` (the single
+//! decision thread), `send` (one attempt at a node), `relay` (the response to the client) and `accounting` (which
+//! requests still need a response, and the counters). The messages between these stages, and the traits that another
+//! host can implement, are in `ports`; imports form no cycles. `discovery` and `platform` communicate with the external
+//! services, each at an `endpoint` that `reload` may move; `wire` holds the names and formats used by the site.
 
+pub mod accounting;
 pub mod admit;
-pub mod book;
 pub mod buffers;
 pub mod client;
 pub mod clock;
 pub mod config;
-pub mod crew;
 pub mod discovery;
+pub mod endpoint;
 pub mod http;
 pub mod intake;
 pub mod limits;
-pub mod place;
 pub mod platform;
+pub mod ports;
 pub mod relay;
 pub mod reload;
 pub mod route;
 pub mod send;
 pub mod server;
-pub mod stage;
 pub mod wire;
+pub mod worker_pool;
 
 pub use config::Config;
 pub use limits::Limits;
-pub use server::{Server, Signs};
+pub use server::{ProcessSignals, Server};
--- a/crates/marshal/src/relay.rs
+++ b/crates/marshal/src/relay.rs
@@ -1,12 +1,12 @@
 //! The client's answer: a node's own, or one that the marshal words itself.
 
-use crate::book::Open;
+use crate::accounting::PendingRequest;
 use crate::client::Client;
-use crate::crew::Crew;
 use crate::http::{reason, Head};
 use crate::limits::Limits;
-use crate::stage::{Answering, Word};
+use crate::ports::{LocalResponse, ResponseSender};
 use crate::wire;
+use crate::worker_pool::WorkerPool;
 use std::io;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -27,113 +27,118 @@
 }
 
 /// Passes a node's answer on; the right to answer must have been claimed.
-pub fn served(open: &Open, head: &Head<'_>, body: &[&[u8]]) -> bool {
+pub fn write_node_response(request: &PendingRequest, head: &Head<'_>, body: &[&[u8]]) -> bool {
     let size: usize = body.iter().map(|part| part.len()).sum();
-    let Some(client) = open.socket.as_ref().map(|socket| &socket.client) else { return false };
-    let keep = client.keeps();
+    let Some(client) = request.origin.as_ref().map(|socket| &socket.client) else { return false };
+    let keep = client.keeps_alive();
     let text = head_text(head, size, keep);
     let mut parts = Vec::with_capacity(body.len() + 1);
     parts.push(text.as_slice());
     parts.extend_from_slice(body);
-    let written = client.answer(&parts, keep);
+    let written = client.finish_response(&parts, keep);
     if !keep {
-        client.hang_up();
+        client.shutdown_read();
     }
     written
 }
 
 /// An answer too long to be held, on its way to the client. Ends the client's connection where it does not come
 /// to its end, so that the client can tell.
-pub struct Passing<'a> {
+pub struct StreamedResponse<'a> {
     client: &'a Client,
-    left: usize,
+    remaining: usize,
     keep: bool,
-    writing: Duration,
+    write_time: Duration,
 }
 
-impl<'a> Passing<'a> {
+impl<'a> StreamedResponse<'a> {
     /// Writes its head; the right to answer must have been claimed. `None` where the client has gone.
-    pub fn begin(open: &'a Open, head: &Head<'_>, size: usize) -> Option<Passing<'a>> {
-        let client = &*open.socket.as_ref()?.client;
-        let passing = Passing { client, left: size, keep: client.keeps(), writing: Duration::ZERO };
-        let begun = client.part_of_answer(&head_text(head, size, passing.keep));
-        begun.then_some(passing)
+    pub fn begin(request: &'a PendingRequest, head: &Head<'_>, size: usize) -> Option<StreamedResponse<'a>> {
+        let client = &*request.origin.as_ref()?.client;
+        let stream = StreamedResponse {
+            client,
+            remaining: size,
+            keep: client.keeps_alive(),
+            write_time: Duration::ZERO,
+        };
+        let begun = client.write_part(&head_text(head, size, stream.keep));
+        begun.then_some(stream)
     }
     /// Bytes that are still to come.
-    pub fn left(&self) -> usize {
-        self.left
+    pub fn remaining(&self) -> usize {
+        self.remaining
     }
     /// Time that the client took to take what was written.
-    pub fn writing(&self) -> Duration {
-        self.writing
+    pub fn write_time(&self) -> Duration {
+        self.write_time
     }
     /// Writes what has come; false where the client has gone.
-    pub fn put(&mut self, bytes: &[u8]) -> bool {
+    pub fn write(&mut self, bytes: &[u8]) -> bool {
         let from = Instant::now();
-        let written = self.write(bytes);
-        self.writing += from.elapsed();
+        let written = self.write_part(bytes);
+        self.write_time += from.elapsed();
         written
     }
-    fn write(&mut self, bytes: &[u8]) -> bool {
-        let part = &bytes[..bytes.len().min(self.left)];
-        if part.len() < self.left {
-            let written = self.client.part_of_answer(part);
-            self.left -= part.len();
+    fn write_part(&mut self, bytes: &[u8]) -> bool {
+        let part = &bytes[..bytes.len().min(self.remaining)];
+        if part.len() < self.remaining {
+            let written = self.client.write_part(part);
+            self.remaining -= part.len();
             return written;
         }
-        self.left = 0;
-        let written = self.client.answer(&[part], self.keep);
+        self.remaining = 0;
+        let written = self.client.finish_response(&[part], self.keep);
         if !self.keep {
-            self.client.hang_up();
+            self.client.shutdown_read();
         }
         written
     }
 }
 
-impl Drop for Passing<'_> {
+impl Drop for StreamedResponse<'_> {
     fn drop(&mut self) {
-        if self.left > 0 {
-            self.client.answer(&[], false);
-            self.client.hang_up();
+        if self.remaining > 0 {
+            self.client.finish_response(&[], false);
+            self.client.shutdown_read();
         }
     }
 }
 
 /// Writes an answer that no node made. Gives whether the connection outlives it.
-pub fn word(client: &Client, word: Word, keep: bool) -> bool {
-    let keep = keep && client.keeps();
-    let (status, extra) = match word {
-        Word::Refused(wait) => (503, wait.map(wire::retry_after).unwrap_or_default()),
-        Word::Failed => (502, String::new()),
-        Word::Status(status) => (status, String::new()),
+pub fn write_local(client: &Client, response: LocalResponse, keep: bool) -> bool {
+    let keep = keep && client.keeps_alive();
+    let (status, extra) = match response {
+        LocalResponse::Refused(wait) => (503, wait.map(wire::retry_after).unwrap_or_default()),
+        LocalResponse::Failed => (502, String::new()),
+        LocalResponse::Status(status) => (status, String::new()),
     };
     let close = if keep { "" } else { "Connection: close\r\n" };
     let text = format!("HTTP/1.1 {status} {}\r\n{extra}{close}Content-Length: 0\r\n\r\n", reason(status));
-    client.answer(&[text.as_bytes()], keep) && keep
+    client.finish_response(&[text.as_bytes()], keep) && keep
 }
 
 /// Threads that write the answers which the decision thread words; that thread must not wait on a socket.
-pub struct Relays(Crew<(Arc<Open>, Word)>);
+pub struct ResponseWriters(WorkerPool<(Arc<PendingRequest>, LocalResponse)>);
 
-impl Relays {
+impl ResponseWriters {
     /// Room for as many answers as clients can wait for.
-    pub fn new(limits: &Limits) -> io::Result<Relays> {
-        Crew::new(
+    pub fn new(limits: &Limits) -> io::Result<ResponseWriters> {
+        WorkerPool::new(
             "relay",
-            limits.crew(limits.relays, limits.clients * 2),
-            |(open, answer): (Arc<Open>, Word)| {
-                let Some(socket) = &open.socket else { return }; // its own front words it
-                if !word(&socket.client, answer, true) {
-                    socket.client.hang_up();
+            limits.pool_options(limits.max_response_writers, limits.max_clients * 2),
+            |(request, answer): (Arc<PendingRequest>, LocalResponse)| {
+                let Some(socket) = &request.origin else { return }; // its own front words it
+                if !write_local(&socket.client, answer, true) {
+                    socket.client.shutdown_read();
                 }
             },
         )
-        .map(Relays)
+        .map(ResponseWriters)
     }
 }
 
-impl Answering for Relays {
-    fn hand(&self, open: Arc<Open>, word: Word) -> bool {
-        self.0.hand((open, word)).is_ok()
+impl ResponseSender for ResponseWriters {
+    fn enqueue(&self, request: Arc<PendingRequest>, response: LocalResponse) -> bool {
+        self.0.submit((request, response)).is_ok()
     }
 }
--- a/crates/marshal/src/route.rs
+++ b/crates/marshal/src/route.rs
@@ -1,11 +1,13 @@
 //! The decision thread: it alone owns the module, the table of requests and the timers. It waits for nothing
 //! but its one channel, and does what the module says.
 
-use crate::book::{count, Book, Open};
-use crate::clock::{span, Clock};
+use crate::accounting::{increment, Counters, PendingRequest};
+use crate::clock::{to_duration, Clock};
 use crate::limits::Limits;
-use crate::stage::{
-    Admitted, Answering, Ask, Ballot, Carrier, Grouping, Listing, Note, Order, Out, Voting, Watching, Word,
+use crate::ports::{
+    AdmittedRequest, AttemptHandle, AttemptOrder, AttemptSender, DecisionInput, DiscoveryRequest,
+    DiscoveryRequester, GroupObserver, LocalResponse, ResponseSender, RolloutObserver, VoteRequest,
+    VoteSender,
 };
 use crossbeam_channel::{Receiver, RecvTimeoutError};
 use milletwing_decision::interface::{
@@ -19,8 +21,8 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-enum Due {
-    Alarm(String),
+enum TimerEvent {
+    Module(String),
     Answer(RequestId),
     Attempt(RequestId, u32),
     Vote(u64),
@@ -28,37 +30,37 @@
     Report,
 }
 
-type When = (Instant, u64);
+type TimerKey = (Instant, u64);
 
 /// An attempt that is out.
-struct Flying {
-    copy: u32,
+struct OutstandingAttempt {
+    attempt: u32,
     node: NodeId,
     sent: Instant,
     /// The timer that cuts it off.
-    when: When,
-    held: Arc<dyn Out>,
+    when: TimerKey,
+    handle: Arc<dyn AttemptHandle>,
 }
 
 /// A request that owes its answer or has attempts out.
-struct Entry {
-    open: Arc<Open>,
-    copies: u32,
-    out: Vec<Flying>,
-    due: Option<When>,
+struct TrackedRequest {
+    request: Arc<PendingRequest>,
+    attempts_started: u32,
+    outstanding: Vec<OutstandingAttempt>,
+    due: Option<TimerKey>,
 }
 
-impl Entry {
+impl TrackedRequest {
     fn describe(&self) -> Vec<String> {
-        self.out.iter().map(|flying| flying.held.describe()).collect()
+        self.outstanding.iter().map(|outstanding| outstanding.handle.describe()).collect()
     }
     fn cancel(&self) {
-        self.out.iter().for_each(|flying| flying.held.cancel());
+        self.outstanding.iter().for_each(|outstanding| outstanding.handle.cancel());
     }
 }
 
 /// What the decision thread works with.
-pub struct Tools {
+pub struct DecisionContext {
     /// The module's settings.
     pub settings: Settings,
     /// Its seed.
@@ -68,71 +70,75 @@
     /// The clock.
     pub clock: Clock,
     /// The counters.
-    pub book: Arc<Book>,
+    pub counters: Arc<Counters>,
     /// Who carries attempts.
-    pub carrier: Box<dyn Carrier>,
+    pub attempt_sender: Box<dyn AttemptSender>,
     /// Who hands out answers that no node made.
-    pub answers: Box<dyn Answering>,
+    pub responses: Box<dyn ResponseSender>,
     /// Who speaks with the platform.
-    pub votes: Box<dyn Voting>,
+    pub vote_sender: Box<dyn VoteSender>,
     /// Who asks discovery.
-    pub lists: Box<dyn Listing>,
+    pub discovery: Box<dyn DiscoveryRequester>,
     /// The group of instances that judge as one, where there is one.
-    pub group: Option<Box<dyn Grouping>>,
+    pub group: Option<Box<dyn GroupObserver>>,
     /// Who follows what becomes of builds, where somebody does.
-    pub watcher: Option<Box<dyn Watching>>,
+    pub rollout_observer: Option<Box<dyn RolloutObserver>>,
 }
 
 /// The decision thread's own.
-pub struct Route {
-    tools: Tools,
+pub struct DecisionThread {
+    context: DecisionContext,
     marshal: Marshal,
     actions: Vec<Action>,
     /// The list and the news as told last, for a module that has to begin anew.
-    listed: BTreeMap<NodeId, NodeEntry>,
-    news: Option<StageReport>,
-    table: HashMap<RequestId, Entry>,
-    timers: BTreeMap<When, Due>,
-    votes: HashMap<u64, When>,
-    numbers: u64,
+    nodes: BTreeMap<NodeId, NodeEntry>,
+    stage: Option<StageReport>,
+    requests: HashMap<RequestId, TrackedRequest>,
+    timers: BTreeMap<TimerKey, TimerEvent>,
+    votes: HashMap<u64, TimerKey>,
+    last_number: u64,
 }
 
-impl Route {
+impl DecisionThread {
     /// Begins with the list and the news that the configuration holds.
-    pub fn new(tools: Tools, known: Vec<(NodeEntry, SocketAddr)>, news: Option<StageReport>) -> Route {
-        let marshal = Marshal::new(tools.settings.clone(), tools.seed);
-        let mut route = Route {
-            tools,
+    pub fn new(
+        context: DecisionContext,
+        known: Vec<(NodeEntry, SocketAddr)>,
+        stage: Option<StageReport>,
+    ) -> DecisionThread {
+        let marshal = Marshal::new(context.settings.clone(), context.seed);
+        let mut route = DecisionThread {
+            context,
             marshal,
             actions: Vec::new(),
-            listed: BTreeMap::new(),
-            news: None,
-            table: HashMap::new(),
+            nodes: BTreeMap::new(),
+            stage: None,
+            requests: HashMap::new(),
             timers: BTreeMap::new(),
             votes: HashMap::new(),
-            numbers: 0,
+            last_number: 0,
         };
         let now = Instant::now();
-        route.set(now + route.tools.limits.sweep, Due::Sweep);
-        route.set(now + route.tools.limits.report, Due::Report);
+        route.set_timer(now + route.context.limits.sweep_interval, TimerEvent::Sweep);
+        route.set_timer(now + route.context.limits.report_interval, TimerEvent::Report);
         route.deliver(Event::Start);
-        route.take(Note::Fleet(FleetUpdateKind::Restored, known));
-        if let Some(news) = news {
-            route.take(Note::Told(Event::StageReport(news)));
+        route.handle(DecisionInput::FleetUpdate(FleetUpdateKind::Restored, known));
+        if let Some(stage) = stage {
+            route.handle(DecisionInput::Event(Event::StageReport(stage)));
         }
         route
     }
 
     /// Works until told to stop.
-    pub fn run(mut self, notes: &Receiver<Note>) {
+    pub fn run(mut self, inputs: &Receiver<DecisionInput>) {
         loop {
             let next = match self.timers.first_key_value() {
-                Some((&(at, _), _)) => notes.recv_deadline(at),
-                None => notes.recv().map_err(|_| RecvTimeoutError::Disconnected),
+                Some((&(at, _), _)) => inputs.recv_deadline(at),
+                None => inputs.recv().map_err(|_| RecvTimeoutError::Disconnected),
             };
             match next {
-                Ok(Note::Stop) | Err(RecvTimeoutError::Disconnected) => return,
-                Ok(note) => self.take(note),
+                Ok(DecisionInput::Stop) | Err(RecvTimeoutError::Disconnected) => return,
+                Ok(input) => self.handle(input),
                 Err(RecvTimeoutError::Timeout) => {}
             }
             let now = Instant::now();
@@ -143,21 +149,21 @@
         }
     }
 
-    fn set(&mut self, at: Instant, due: Due) -> When {
-        self.numbers += 1;
-        self.timers.insert((at, self.numbers), due);
-        (at, self.numbers)
+    fn set_timer(&mut self, at: Instant, due: TimerEvent) -> TimerKey {
+        self.last_number += 1;
+        self.timers.insert((at, self.last_number), due);
+        (at, self.last_number)
     }
 
     /// Tells the module, and does what it says. A module that panics loses no request: what is open fails,
     /// and a new one begins with the list and the news as told last.
     fn deliver(&mut self, event: Event) {
-        let now = self.tools.clock.ms(Instant::now());
+        let now = self.context.clock.ms(Instant::now());
         let mut actions = std::mem::take(&mut self.actions);
         let told = catch_unwind(AssertUnwindSafe(|| self.marshal.handle(now, event, &mut actions)));
         if told.is_err() {
             actions.clear();
-            self.begin_anew(now, &mut actions);
+            self.restart_module(now, &mut actions);
         }
         for action in actions.drain(..) {
             self.act(action);
@@ -165,251 +171,286 @@
         self.actions = actions;
     }
 
-    fn begin_anew(&mut self, now: Ms, actions: &mut Vec<Action>) {
-        count(&self.tools.book.defects);
+    fn restart_module(&mut self, now: Ms, actions: &mut Vec<Action>) {
+        increment(&self.context.counters.defects);
         log::error!("the module panicked: what is open fails, and it begins anew");
-        for entry in self.table.values_mut() {
+        for entry in self.requests.values_mut() {
             entry.cancel();
-            if entry.open.claim() {
-                count(&self.tools.book.failed);
-                self.tools.answers.hand(entry.open.clone(), Word::Failed);
+            if entry.request.claim() {
+                increment(&self.context.counters.failed);
+                self.context.responses.enqueue(entry.request.clone(), LocalResponse::Failed);
             }
         }
-        self.timers.retain(|_, due| !matches!(due, Due::Alarm(_)));
-        self.marshal = Marshal::new(self.tools.settings.clone(), self.tools.seed.wrapping_add(self.numbers));
+        self.timers.retain(|_, due| !matches!(due, TimerEvent::Module(_)));
+        self.marshal =
+            Marshal::new(self.context.settings.clone(), self.context.seed.wrapping_add(self.last_number));
         self.marshal.handle(now, Event::Start, actions);
-        let list = self.listed.values().cloned().collect();
+        let list = self.nodes.values().cloned().collect();
         self.marshal.handle(now, Event::FleetUpdate(FleetUpdateKind::Replace, list), actions);
-        if let Some(news) = self.news.clone() {
-            self.marshal.handle(now, Event::StageReport(news), actions);
+        if let Some(stage) = self.stage.clone() {
+            self.marshal.handle(now, Event::StageReport(stage), actions);
         }
     }
 
-    fn take(&mut self, note: Note) {
-        match note {
-            Note::Taken(admitted) => self.taken(*admitted),
-            Note::Gone(open) => {
-                if open.claim() {
-                    count(&self.tools.book.gone);
-                    if let Some(entry) = self.table.get(&open.id) {
+    fn handle(&mut self, input: DecisionInput) {
+        match input {
+            DecisionInput::RequestAdmitted(admitted) => self.request_admitted(*admitted),
+            DecisionInput::ClientLeft(request) => {
+                if request.claim() {
+                    increment(&self.context.counters.gone);
+                    if let Some(entry) = self.requests.get(&request.id) {
                         let out = entry.describe();
-                        let left = open.deadline.saturating_duration_since(Instant::now());
-                        log::debug!("client left with {left:?} to go, {} copies, out: {out:?}", entry.copies);
+                        let left = request.deadline.saturating_duration_since(Instant::now());
+                        log::debug!(
+                            "client left with {left:?} to go, {} copies, out: {out:?}",
+                            entry.attempts_started
+                        );
                     }
-                    self.finished(&open.id);
-                    self.deliver(Event::ClientGone(open.id.clone()));
+                    self.finished(&request.id);
+                    self.deliver(Event::ClientGone(request.id.clone()));
                 }
             }
-            Note::Started(id, copy) => self.deliver(Event::StreamStarted(id, copy)),
-            Note::Ended { id, copy, verdict, at } => self.ended(id, copy, verdict, at),
-            Note::Fleet(form, entries) => self.fleet(form, entries),
-            Note::Told(event) => {
-                if let Event::StageReport(news) = &event {
-                    self.news = Some(news.clone());
-                    self.tools.group.iter().for_each(|group| group.told(news));
-                    self.tools.watcher.iter().for_each(|watcher| watcher.told(news));
+            DecisionInput::StreamStarted(id, attempt) => self.deliver(Event::StreamStarted(id, attempt)),
+            DecisionInput::AttemptEnded { id, attempt, outcome, ended_at } => {
+                self.attempt_ended(id, attempt, outcome, ended_at)
+            }
+            DecisionInput::FleetUpdate(kind, entries) => self.fleet_update(kind, entries),
+            DecisionInput::Event(event) => {
+                if let Event::StageReport(stage) = &event {
+                    self.stage = Some(stage.clone());
+                    self.context.group.iter().for_each(|group| group.stage_reported(stage));
+                    self.context
+                        .rollout_observer
+                        .iter()
+                        .for_each(|rollout_observer| rollout_observer.stage_reported(stage));
                 }
                 self.deliver(event);
             }
-            Note::Vote(number, answer) => self.voted(number, answer),
-            Note::Stop => {}
+            DecisionInput::VoteAnswered(number, answer) => self.vote_answered(number, answer),
+            DecisionInput::Stop => {}
         }
     }
 
-    fn taken(&mut self, admitted: Admitted) {
-        let Admitted { open, class, key, tenant, work_hint, is_retry } = admitted;
-        if self.table.contains_key(&open.id) {
+    fn request_admitted(&mut self, admitted: AdmittedRequest) {
+        let AdmittedRequest { request, class, key, tenant, work_hint, is_retry } = admitted;
+        if self.requests.contains_key(&request.id) {
             // Two open requests with one id could not be told apart; the first goes on.
-            if open.claim() {
-                count(&self.tools.book.malformed);
-                self.tools.answers.hand(open, Word::Status(409));
+            if request.claim() {
+                increment(&self.context.counters.malformed);
+                self.context.responses.enqueue(request, LocalResponse::Status(409));
             }
             return;
         }
-        let id = open.id.clone();
-        let due = self.set(open.deadline + self.tools.limits.overdue, Due::Answer(id.clone()));
-        let left = open.deadline.saturating_duration_since(Instant::now());
+        let id = request.id.clone();
+        let due = self.set_timer(
+            request.deadline + self.context.limits.response_overdue_after,
+            TimerEvent::Answer(id.clone()),
+        );
+        let left = request.deadline.saturating_duration_since(Instant::now());
         let expires_in = Ms(left.as_secs_f64() * 1000.0);
-        self.table.insert(id.clone(), Entry { open, copies: 0, out: Vec::new(), due: Some(due) });
+        self.requests.insert(
+            id.clone(),
+            TrackedRequest { request, attempts_started: 0, outstanding: Vec::new(), due: Some(due) },
+        );
         self.deliver(Event::Request { id, class, key, tenant, expires_in, work_hint, is_retry });
     }
 
     /// A request has its answer: nothing is overdue any more. It is forgotten with its last attempt.
     fn finished(&mut self, id: &RequestId) {
-        let Some(entry) = self.table.get_mut(id) else { return };
+        let Some(entry) = self.requests.get_mut(id) else { return };
         if let Some(due) = entry.due.take() {
             self.timers.remove(&due);
         }
-        if entry.out.is_empty() {
-            self.table.remove(id);
+        if entry.outstanding.is_empty() {
+            self.requests.remove(id);
         }
     }
 
-    fn ended(&mut self, id: RequestId, copy: u32, verdict: Outcome, at: Instant) {
-        let Some(entry) = self.table.get_mut(&id) else { return };
-        let Some(place) = entry.out.iter().position(|flying| flying.copy == copy) else { return };
-        let Flying { node, sent, when, .. } = entry.out.swap_remove(place);
+    fn attempt_ended(&mut self, id: RequestId, attempt: u32, outcome: Outcome, at: Instant) {
+        let Some(entry) = self.requests.get_mut(&id) else { return };
+        let Some(place) = entry.outstanding.iter().position(|outstanding| outstanding.attempt == attempt)
+        else {
+            return;
+        };
+        let OutstandingAttempt { node, sent, when, .. } = entry.outstanding.swap_remove(place);
         self.timers.remove(&when);
-        let settled = entry.open.answered();
-        if settled {
+        let answered = entry.request.answered();
+        if answered {
             self.finished(&id);
         }
         let latency = Ms(at.saturating_duration_since(sent).as_secs_f64() * 1000.0);
         self.deliver(Event::Completed {
             id,
-            attempt: copy,
+            attempt: attempt,
             node,
-            outcome: verdict,
+            outcome,
             latency,
-            is_final: settled,
+            is_final: answered,
             load: None,
         });
     }
 
     /// Follows the list, and keeps it for a module that has to begin anew.
-    fn fleet(&mut self, form: FleetUpdateKind, entries: Vec<(NodeEntry, SocketAddr)>) {
-        self.tools.carrier.fleet(form, &entries);
-        if matches!(form, FleetUpdateKind::Replace | FleetUpdateKind::Restored) {
-            self.listed.clear();
+    fn fleet_update(&mut self, kind: FleetUpdateKind, entries: Vec<(NodeEntry, SocketAddr)>) {
+        self.context.attempt_sender.update_fleet(kind, &entries);
+        if matches!(kind, FleetUpdateKind::Replace | FleetUpdateKind::Restored) {
+            self.nodes.clear();
         }
         for (entry, _) in &entries {
             if entry.state == NodeState::Terminated {
-                self.listed.remove(&entry.node);
+                self.nodes.remove(&entry.node);
             } else {
-                self.listed.insert(entry.node.clone(), entry.clone());
+                self.nodes.insert(entry.node.clone(), entry.clone());
             }
         }
-        self.deliver(Event::FleetUpdate(form, entries.into_iter().map(|(entry, _)| entry).collect()));
+        self.deliver(Event::FleetUpdate(kind, entries.into_iter().map(|(entry, _)| entry).collect()));
     }
 
-    fn voted(&mut self, number: u64, answer: Result<StageReport, Outcome>) {
+    fn vote_answered(&mut self, number: u64, answer: Result<StageReport, Outcome>) {
         let Some(when) = self.votes.remove(&number) else { return }; // it timed out before
         self.timers.remove(&when);
-        let news = answer.unwrap_or_else(|verdict| StageReport {
+        let stage = answer.unwrap_or_else(|outcome| StageReport {
             answers_vote: true,
-            outcome: verdict,
+            outcome,
             build: Build(0),
             stage: 0,
             phase: Phase::Trial,
             cap: 0.0,
             age: Ms(0.0),
         });
-        if let Some(group) = &self.tools.group {
-            group.answered(number, &news);
+        if let Some(group) = &self.context.group {
+            group.vote_answered(number, &stage);
         }
-        if news.outcome == Outcome::Ok {
-            self.tools.watcher.iter().for_each(|watcher| watcher.told(&news));
-            self.news = Some(StageReport { answers_vote: false, ..news.clone() });
+        if stage.outcome == Outcome::Ok {
+            self.context
+                .rollout_observer
+                .iter()
+                .for_each(|rollout_observer| rollout_observer.stage_reported(&stage));
+            self.stage = Some(StageReport { answers_vote: false, ..stage.clone() });
         }
-        self.deliver(Event::StageReport(news));
+        self.deliver(Event::StageReport(stage));
     }
 
-    fn fire(&mut self, when: When, due: Due) {
+    fn fire(&mut self, when: TimerKey, due: TimerEvent) {
         match due {
-            Due::Alarm(key) => self.deliver(Event::Timer(key)),
-            Due::Vote(number) => self.voted(number, Err(Outcome::Timeout)),
+            TimerEvent::Module(key) => self.deliver(Event::Timer(key)),
+            TimerEvent::Vote(number) => self.vote_answered(number, Err(Outcome::Timeout)),
             // Whoever carries it tells the rest. A socket's own time-out may come an eighth later.
-            Due::Attempt(id, copy) => self.cut_off(&id, copy, when),
-            Due::Answer(id) => {
-                let Some(entry) = self.table.get_mut(&id).filter(|entry| entry.due == Some(when)) else {
+            TimerEvent::Attempt(id, attempt) => self.time_out_attempt(&id, attempt, when),
+            TimerEvent::Answer(id) => {
+                let Some(entry) = self.requests.get_mut(&id).filter(|entry| entry.due == Some(when)) else {
                     return;
                 };
                 entry.due = None;
                 let out = entry.describe();
                 entry.cancel();
-                if entry.open.claim() {
-                    count(&self.tools.book.defects);
-                    count(&self.tools.book.failed);
-                    let copies = entry.copies;
-                    log::error!("request {} failed by the book; of {copies} attempts out: {out:?}", id.0);
-                    self.tools.answers.hand(entry.open.clone(), Word::Failed);
+                if entry.request.claim() {
+                    increment(&self.context.counters.defects);
+                    increment(&self.context.counters.failed);
+                    let attempts_started = entry.attempts_started;
+                    log::error!("request {} got no response in time; {attempts_started} attempts started, outstanding: {out:?}", id.0);
+                    self.context.responses.enqueue(entry.request.clone(), LocalResponse::Failed);
                     self.finished(&id);
                     self.deliver(Event::ClientGone(id));
                 }
             }
-            Due::Sweep => {
-                self.tools.carrier.sweep();
-                self.set(when.0 + self.tools.limits.sweep, Due::Sweep);
+            TimerEvent::Sweep => {
+                self.context.attempt_sender.sweep();
+                self.set_timer(when.0 + self.context.limits.sweep_interval, TimerEvent::Sweep);
             }
-            Due::Report => {
-                let held = self.table.len();
-                log::info!("{}; held {held}, {}", self.tools.book, self.tools.carrier.report());
-                self.set(when.0 + self.tools.limits.report, Due::Report);
+            TimerEvent::Report => {
+                let held = self.requests.len();
+                log::info!(
+                    "{}; held {held}, {}",
+                    self.context.counters,
+                    self.context.attempt_sender.report()
+                );
+                self.set_timer(when.0 + self.context.limits.report_interval, TimerEvent::Report);
             }
         }
     }
 
     /// An attempt's time is over; but an answer that is on its way to the client already has until its deadline.
-    fn cut_off(&mut self, id: &RequestId, copy: u32, when: When) {
-        let Some(entry) = self.table.get_mut(id) else { return };
-        let deadline = entry.open.deadline;
-        let Some(flying) = entry.out.iter_mut().find(|flying| flying.copy == copy) else { return };
-        if !flying.held.passes() || when.0 >= deadline {
-            return flying.held.time_out();
+    fn time_out_attempt(&mut self, id: &RequestId, attempt: u32, when: TimerKey) {
+        let Some(entry) = self.requests.get_mut(id) else { return };
+        let deadline = entry.request.deadline;
+        let Some(outstanding) =
+            entry.outstanding.iter_mut().find(|outstanding| outstanding.attempt == attempt)
+        else {
+            return;
+        };
+        if !outstanding.handle.is_streaming() || when.0 >= deadline {
+            return outstanding.handle.time_out();
         }
-        self.numbers += 1;
-        flying.when = (deadline, self.numbers);
-        self.timers.insert(flying.when, Due::Attempt(id.clone(), copy));
+        self.last_number += 1;
+        outstanding.when = (deadline, self.last_number);
+        self.timers.insert(outstanding.when, TimerEvent::Attempt(id.clone(), attempt));
     }
 
     fn act(&mut self, action: Action) {
         match action {
             Action::Attempt { id, node, timeout } => self.attempt(id, &node, timeout),
-            Action::Refuse(id, wait) => self.word(&id, Word::Refused(wait)),
-            Action::Fail(id) => self.word(&id, Word::Failed),
-            Action::Cancel(id, copy) => {
-                let out = self.table.get(&id).map(|entry| entry.out.as_slice()).unwrap_or_default();
-                out.iter().filter(|out| out.copy == copy).for_each(|out| out.held.cancel());
+            Action::Refuse(id, wait) => self.respond(&id, LocalResponse::Refused(wait)),
+            Action::Fail(id) => self.respond(&id, LocalResponse::Failed),
+            Action::Cancel(id, attempt) => {
+                let out =
+                    self.requests.get(&id).map(|entry| entry.outstanding.as_slice()).unwrap_or_default();
+                out.iter().filter(|out| out.attempt == attempt).for_each(|out| out.handle.cancel());
             }
             Action::CastVote { build, stage, vote } => {
-                self.tools.watcher.iter().for_each(|watcher| watcher.cast(build, vote));
-                self.numbers += 1;
-                let number = self.numbers;
-                let when = self
-                    .set(Instant::now() + span(self.tools.settings.vote_answer_timeout), Due::Vote(number));
+                self.context
+                    .rollout_observer
+                    .iter()
+                    .for_each(|rollout_observer| rollout_observer.vote_cast(build, vote));
+                self.last_number += 1;
+                let number = self.last_number;
+                let when = self.set_timer(
+                    Instant::now() + to_duration(self.context.settings.vote_answer_timeout),
+                    TimerEvent::Vote(number),
+                );
                 self.votes.insert(number, when);
-                if !self.tools.votes.cast(Ballot { number, build, stage, vote, guard: None }) {
-                    self.voted(number, Err(Outcome::ConnectFailed));
+                if !self.context.vote_sender.cast(VoteRequest { number, build, stage, vote, guard: None }) {
+                    self.vote_answered(number, Err(Outcome::ConnectFailed));
                 }
             }
             Action::ShareEvidence(seen) => {
-                if let Some(group) = &self.tools.group {
-                    group.seen(*seen);
+                if let Some(group) = &self.context.group {
+                    group.evidence_collected(*seen);
                 }
             }
             Action::ProposeDecision { build, stage, vote } => {
-                if let Some(group) = &self.tools.group {
-                    group.judged(build, stage, vote);
+                if let Some(group) = &self.context.group {
+                    group.decision_proposed(build, stage, vote);
                 }
             }
-            Action::Subscribe => self.ask(Ask::Subscribe),
-            Action::FetchFleet => self.ask(Ask::Fetch),
+            Action::Subscribe => self.ask(DiscoveryRequest::Subscribe),
+            Action::FetchFleet => self.ask(DiscoveryRequest::Fetch),
             Action::Probe(node) => {
                 // The protocol has no probe: it never ran.
                 self.deliver(Event::ProbeCompleted(node, Outcome::NotSent, Ms(0.0), None));
             }
             Action::BroadcastToPeers(_) => log::debug!("the protocol has no messages among marshals"),
             Action::SetTimer(key, at) => {
-                let at = self.tools.clock.instant(at);
-                self.set(at, Due::Alarm(key));
+                let at = self.context.clock.instant(at);
+                self.set_timer(at, TimerEvent::Module(key));
             }
             Action::Log(text) => log::info!("{}", text.escape_debug()),
         }
     }
 
-    fn ask(&mut self, ask: Ask) {
-        if !self.tools.lists.ask(ask) {
+    fn ask(&mut self, ask: DiscoveryRequest) {
+        if !self.context.discovery.request(ask) {
             self.deliver(Event::FleetUpdate(FleetUpdateKind::Unavailable, Vec::new()));
         }
     }
 
-    fn word(&mut self, id: &RequestId, word: Word) {
-        let Some(entry) = self.table.get(id) else { return };
-        if entry.open.claim() {
-            let refused = matches!(word, Word::Refused(_));
-            count(if refused { &self.tools.book.refused } else { &self.tools.book.failed });
-            if !self.tools.answers.hand(entry.open.clone(), word) {
-                count(&self.tools.book.defects);
+    fn respond(&mut self, id: &RequestId, word: LocalResponse) {
+        let Some(entry) = self.requests.get(id) else { return };
+        if entry.request.claim() {
+            let refused = matches!(word, LocalResponse::Refused(_));
+            increment(if refused { &self.context.counters.refused } else { &self.context.counters.failed });
+            if !self.context.responses.enqueue(entry.request.clone(), word) {
+                increment(&self.context.counters.defects);
                 log::error!("no room for an answer to {}", id.0);
             }
             self.finished(id);
@@ -418,30 +459,38 @@
 
     fn attempt(&mut self, id: RequestId, node: &NodeId, timeout: Option<Ms>) {
         let now = Instant::now();
-        let Some(entry) = self.table.get_mut(&id) else { return };
-        let copy = entry.copies;
-        entry.copies += 1;
-        let deadline = entry.open.deadline;
-        let until = timeout.map_or(deadline, |timeout| deadline.min(now + span(timeout)));
-        let moot = entry.open.answered() || copy >= self.tools.settings.max_attempts || until <= now;
-        let order = Order { open: entry.open.clone(), copy, node: node.clone(), sent: now, until };
-        if let Some(held) = Some(order).filter(|_| !moot).and_then(|order| self.tools.carrier.begin(order)) {
-            let when = self.set(until, Due::Attempt(id.clone(), copy));
-            let flying = Flying { copy, node: node.clone(), sent: now, when, held };
-            self.table.entry(id).and_modify(|entry| entry.out.push(flying));
+        let Some(entry) = self.requests.get_mut(&id) else { return };
+        let attempt = entry.attempts_started;
+        entry.attempts_started += 1;
+        let deadline = entry.request.deadline;
+        let until = timeout.map_or(deadline, |timeout| deadline.min(now + to_duration(timeout)));
+        let moot = entry.request.answered() || attempt >= self.context.settings.max_attempts || until <= now;
+        let order = AttemptOrder {
+            request: entry.request.clone(),
+            attempt,
+            node: node.clone(),
+            sent_at: now,
+            deadline,
+        };
+        if let Some(handle) =
+            Some(order).filter(|_| !moot).and_then(|order| self.context.attempt_sender.start(order))
+        {
+            let when = self.set_timer(until, TimerEvent::Attempt(id.clone(), attempt));
+            let outstanding = OutstandingAttempt { attempt, node: node.clone(), sent: now, when, handle };
+            self.requests.entry(id).and_modify(|entry| entry.outstanding.push(outstanding));
             return;
         }
         // Never sent: the request is over, its node has left, or no worker is free.
-        let settled = entry.open.answered();
+        let answered = entry.request.answered();
         let node = node.clone();
-        let (verdict, latency) = (Outcome::NotSent, Ms(0.0));
+        let (outcome, latency) = (Outcome::NotSent, Ms(0.0));
         self.deliver(Event::Completed {
             id,
-            attempt: copy,
+            attempt: attempt,
             node,
-            outcome: verdict,
+            outcome,
             latency,
-            is_final: settled,
+            is_final: answered,
             load: None,
         });
     }
--- a/crates/marshal/src/wire.rs
+++ b/crates/marshal/src/wire.rs
@@ -4,32 +4,32 @@
 use std::time::Duration;
 
 /// A request's id.
-pub const ID: &str = "X-Txn";
+pub const REQUEST_ID_HEADER: &str = "X-Txn";
 /// Its class.
-pub const CLASS: &str = "X-Lane";
+pub const CLASS_HEADER: &str = "X-Lane";
 /// Its tenant.
-pub const TENANT: &str = "X-Org";
+pub const TENANT_HEADER: &str = "X-Org";
 /// The cookie that tells what it is about.
 pub const KEY_COOKIE: &str = "user";
 /// How long its sender waits.
-pub const REMAINING: &str = "X-Remaining";
+pub const REMAINING_HEADER: &str = "X-Remaining";
 /// Marks a client's repetition.
-pub const RETRY: &str = "X-Resent";
+pub const RETRY_HEADER: &str = "X-Resent";
 /// Further figures.
-pub const LABELS: &str = "X-Labels";
+pub const LABELS_HEADER: &str = "X-Labels";
 /// Among them: the anticipated work, named as on the simulator's wire.
-pub const LABEL_WORK: &str = "size-hint-ms";
+pub const WORK_HINT_LABEL: &str = "size-hint-ms";
 /// A node's word that the request was turned away unseen.
-pub const TURNED_AWAY: &str = "X-Turned-Away";
+pub const TURNED_AWAY_HEADER: &str = "X-Turned-Away";
 /// Where the front asks whether we serve.
-pub const READY: &str = "/up";
+pub const READINESS_PATH: &str = "/up";
 /// Discovery's list.
-pub const LIST: &str = "/discovery/hosts";
+pub const NODE_LIST_PATH: &str = "/discovery/hosts";
 /// The query of a watch: the version held, and the wait in milliseconds.
-pub const WATCH: [&str; 2] = ["index", "wait"];
+pub const WATCH_PARAMETERS: [&str; 2] = ["index", "wait"];
 
 /// A time as `X-Remaining` words it.
-pub fn remaining(text: &str) -> Option<Duration> {
+pub fn parse_remaining(text: &str) -> Option<Duration> {
     let (number, unit) = text.trim().split_at_checked(text.trim().len().checked_sub(1)?)?;
     let per_ms = match unit {
         "m" => 1.0,
@@ -44,8 +44,8 @@
 }
 
 /// The line that tells a node how long we wait.
-pub fn remaining_line(left: Duration) -> String {
-    format!("{REMAINING}: {}u\r\n", left.as_micros())
+pub fn remaining_header_line(left: Duration) -> String {
+    format!("{REMAINING_HEADER}: {}u\r\n", left.as_micros())
 }
 
 /// A cookie's value.
@@ -65,7 +65,7 @@
 }
 
 /// Discovery's word for a state.
-pub fn state(word: &str) -> Option<NodeState> {
+pub fn node_state(word: &str) -> Option<NodeState> {
     match word {
         "active" => Some(NodeState::InService),
         "leaving" => Some(NodeState::Terminating),
@@ -86,10 +86,10 @@
 }
 
 /// The call that asks the platform to tell.
-pub const SUBSCRIBE: &str = "SUB\r\n";
+pub const SUBSCRIBE_COMMAND: &str = "SUB\r\n";
 
 /// The call that casts a vote.
-pub fn say(build: u32, stage: u32, vote: Vote) -> String {
+pub fn vote_command(build: u32, stage: u32, vote: Vote) -> String {
     let word = match vote {
         Vote::None => "abstain",
         Vote::Advance => "promote",
@@ -101,9 +101,9 @@
 
 /// A line of the platform.
 #[derive(Debug, PartialEq)]
-pub enum Told {
+pub enum PlatformLine {
     /// A sign of life.
-    Alive,
+    KeepAlive,
     /// `OK`, perhaps with the state that follows it.
     Ok(Option<[f64; 4]>, Option<Phase>),
     /// `ERR` and what it means for a vote.
@@ -113,11 +113,11 @@
     /// `* tally`: build, class, attempts, failed, mean time, age.
     Tally(u32, String, [f64; 4]),
     /// `* flag`: node, class, age.
-    Flag(String, String, f64),
+    WrongAnswer(String, String, f64),
     /// A line that begins with `*` and goes on with a word that this version doesn't know.
-    News,
+    UnknownNotification,
     /// Anything else.
-    Garbage,
+    Malformed,
 }
 
 fn numbers<const N: usize>(words: &[&str]) -> Option<[f64; N]> {
@@ -128,20 +128,20 @@
     (words.len() >= N).then_some(out)
 }
 
-fn standing(words: &[&str]) -> Option<([f64; 4], Phase)> {
+fn parse_stage(words: &[&str]) -> Option<([f64; 4], Phase)> {
     let [build, stage, word, cap, age] = words else { return None };
     Some((numbers::<4>(&[build, stage, cap, age])?, phase(word)?))
 }
 
-fn told(words: &[&str]) -> Option<Told> {
+fn parse_words(words: &[&str]) -> Option<PlatformLine> {
     Some(match words {
-        ["*"] => Told::Alive,
-        ["OK"] => Told::Ok(None, None),
+        ["*"] => PlatformLine::KeepAlive,
+        ["OK"] => PlatformLine::Ok(None, None),
         ["OK", rest @ ..] => {
-            let (state, phase) = standing(rest)?;
-            Told::Ok(Some(state), Some(phase))
+            let (state, phase) = parse_stage(rest)?;
+            PlatformLine::Ok(Some(state), Some(phase))
         }
-        ["ERR", word, ..] => Told::Refused(match *word {
+        ["ERR", word, ..] => PlatformLine::Refused(match *word {
             "BUSY" => Outcome::Rejected,
             "STALE" => Outcome::NotSent,
             "FAILED" => Outcome::Error,
@@ -149,32 +149,32 @@
             _ => return None,
         }),
         ["*", "stage", rest @ ..] => {
-            let (state, phase) = standing(rest)?;
-            Told::Stage(state, phase)
+            let (state, phase) = parse_stage(rest)?;
+            PlatformLine::Stage(state, phase)
         }
         ["*", "tally", build, class, rest @ ..] => {
             let [build] = numbers::<1>(&[build])?;
-            Told::Tally(build as u32, (*class).to_string(), numbers::<4>(rest)?)
+            PlatformLine::Tally(build as u32, (*class).to_string(), numbers::<4>(rest)?)
         }
         ["*", "flag", node, class, age] => {
             let [age] = numbers::<1>(&[age])?;
-            Told::Flag((*node).to_string(), (*class).to_string(), age)
+            PlatformLine::WrongAnswer((*node).to_string(), (*class).to_string(), age)
         }
         // Words that this version knows, with fields that can't be read, or no words at all: spoilt.
         ["*", "tally" | "flag", ..] => return None,
-        ["*", word, ..] if word.bytes().all(|b| b.is_ascii_lowercase()) => Told::News,
+        ["*", word, ..] if word.bytes().all(|b| b.is_ascii_lowercase()) => PlatformLine::UnknownNotification,
         _ => return None,
     })
 }
 
 /// Reads a line of the platform, without its end.
-pub fn line(text: &str) -> Told {
+pub fn parse_platform_line(text: &str) -> PlatformLine {
     let words: Vec<&str> = text.split(' ').filter(|word| !word.is_empty()).collect();
-    told(&words).unwrap_or(Told::Garbage)
+    parse_words(&words).unwrap_or(PlatformLine::Malformed)
 }
 
 /// The platform's state of the newest build as the module takes it.
-pub fn news([build, stage, cap, age]: [f64; 4], phase: Phase, answers_vote: bool) -> StageReport {
+pub fn stage_report([build, stage, cap, age]: [f64; 4], phase: Phase, answers_vote: bool) -> StageReport {
     use milletwing_decision::interface::Build;
     let (build, stage) = (Build(build as u32), stage as u32);
     StageReport { answers_vote, outcome: Outcome::Ok, build, stage, phase, cap, age: Ms(age) }
--- a/crates/marshal/tests/guard.rs
+++ b/crates/marshal/tests/guard.rs
@@ -2,10 +2,10 @@
 
 use crossbeam_channel::bounded;
 use milletwing_decision::interface::{Build, Ms, Outcome, Vote};
+use milletwing_marshal::endpoint::Endpoint;
 use milletwing_marshal::limits::{Grant, Limits};
-use milletwing_marshal::place::Place;
 use milletwing_marshal::platform::Platform;
-use milletwing_marshal::stage::{Ballot, Guard, Note};
+use milletwing_marshal::ports::{DecisionInput, Guard, VoteRequest};
 use milletwing_profile::{Names, TransportSettings};
 use milletwing_toy::platform::Platform as Toy;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
@@ -32,8 +32,8 @@
     };
     let limits = Limits::new(Grant { memory_mb: 192, sockets: 1024 }, &transport);
     let (notes, told) = bounded(100);
-    let place = Arc::new(Place::new(toy.addr));
-    let platform = Arc::new(Platform::new(&place, &limits, &Names::default(), notes));
+    let endpoint = Arc::new(Endpoint::new(toy.addr));
+    let platform = Arc::new(Platform::new(&endpoint, &limits, &Names::default(), notes));
     let (send, ballots) = bounded(8);
     let (reader, writer) = (platform.clone(), platform);
     std::thread::spawn(move || reader.read());
@@ -45,10 +45,10 @@
         let subscribed = toy.subscribed();
         number += 1;
         let guard = looks.map(|looks| -> Arc<dyn Guard> { Arc::new(Falls(looks.into())) });
-        send.send(Ballot { number, build: Build(2), stage: 0, vote: Vote::Advance, guard }).unwrap();
+        send.send(VoteRequest { number, build: Build(2), stage: 0, vote: Vote::Advance, guard }).unwrap();
         let end = loop {
             match told.recv_timeout(Duration::from_secs(20)).expect("an end") {
-                Note::Vote(of, end) if of == number => break end,
+                DecisionInput::VoteAnswered(of, end) if of == number => break end,
                 _ => {}
             }
         };
@@ -67,5 +67,5 @@
     assert_eq!((said, whole(&toy)), (0, 0), "half a line was heard");
     assert_eq!(cast(Some(2)), (Ok(Build(2)), 1, 2));
     assert_eq!(cast(None), (Ok(Build(2)), 2, 2));
-    place.end();
+    endpoint.close();
 }
--- a/crates/marshal/tests/layers.rs
+++ b/crates/marshal/tests/layers.rs
@@ -52,6 +52,6 @@
     assert!(seen > 60, "{seen} files");
     // The check can fail: what it guards against, put back.
     let mut old = files(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"));
-    old.get_mut("stage").unwrap().insert("route".into());
+    old.get_mut("ports").unwrap().insert("route".into());
     assert!(circle(old).contains(&"route".to_string()));
 }
--- a/crates/marshal/tests/panics.rs
+++ b/crates/marshal/tests/panics.rs
@@ -2,14 +2,14 @@
 
 use crossbeam_channel::bounded;
 use milletwing_decision::interface::{ClassId, FleetUpdateKind, Ms, NodeEntry, NodeId, RequestId};
-use milletwing_marshal::book::{Book, Open};
-use milletwing_marshal::buffers::Buffers;
+use milletwing_marshal::accounting::{Counters, PendingRequest};
+use milletwing_marshal::buffers::BufferPool;
 use milletwing_marshal::client::Client;
 use milletwing_marshal::clock::Clock;
-use milletwing_marshal::relay::Relays;
-use milletwing_marshal::route::{Route, Tools};
-use milletwing_marshal::send::{Pools, Senders};
-use milletwing_marshal::stage::{Admitted, Note};
+use milletwing_marshal::ports::{AdmittedRequest, DecisionInput};
+use milletwing_marshal::relay::ResponseWriters;
+use milletwing_marshal::route::{DecisionContext, DecisionThread};
+use milletwing_marshal::send::{AttemptExecutor, NodePools};
 use milletwing_marshal::{Config, Limits};
 use milletwing_toy::node::{Node, Reply};
 use milletwing_toy::read_message;
@@ -23,24 +23,24 @@
 fn a_module_that_panics_loses_no_request_and_the_next_one_serves() {
     let config = Config::read(EXAMPLE, |_| None).unwrap();
     let limits = Limits::new(config.grant, &config.transport);
-    let buffers = Buffers::new(limits.buffer, limits.spare_buffers);
-    let book = Arc::new(Book::default());
-    let (notes, inbox) = bounded(limits.notes);
+    let buffers = BufferPool::new(limits.buffer_bytes, limits.max_pooled_buffers);
+    let counters = Arc::new(Counters::default());
+    let (notes, inbox) = bounded(limits.decision_queue_capacity);
     let ((ballots, _votes), (asks, _asked)) = (bounded(8), bounded(8));
-    let relays = Relays::new(&limits).unwrap();
-    let senders = Arc::new(Senders::new(&limits, &buffers, &book, notes.clone()));
-    let tools = Tools {
+    let relays = ResponseWriters::new(&limits).unwrap();
+    let senders = Arc::new(AttemptExecutor::new(&limits, &buffers, &counters, notes.clone()));
+    let tools = DecisionContext {
         settings: config.settings,
         seed: 1,
         limits: limits.clone(),
         clock: Clock::default(),
-        book: book.clone(),
-        carrier: Box::new(Pools::new(senders).unwrap()),
-        answers: Box::new(relays),
-        votes: Box::new(ballots),
-        lists: Box::new(asks),
+        counters: counters.clone(),
+        attempt_sender: Box::new(NodePools::new(senders).unwrap()),
+        responses: Box::new(relays),
+        vote_sender: Box::new(ballots),
+        discovery: Box::new(asks),
         group: None,
-        watcher: None,
+        rollout_observer: None,
     };
     let node = Node::start("127.0.0.1:0", |message| match message.get("X-Txn") {
         Some("held") => Reply::Silent,
@@ -48,9 +48,9 @@
     })
     .unwrap();
     let entry = NodeEntry { node: NodeId("n".into()), ..NodeEntry::default() };
-    let route = Route::new(tools, vec![(entry.clone(), node.addr)], config.news);
+    let route = DecisionThread::new(tools, vec![(entry.clone(), node.addr)], config.news);
     let thread = std::thread::spawn(move || route.run(&inbox));
-    notes.send(Note::Fleet(FleetUpdateKind::Replace, vec![(entry, node.addr)])).unwrap();
+    notes.send(DecisionInput::FleetUpdate(FleetUpdateKind::Replace, vec![(entry, node.addr)])).unwrap();
 
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     // The class decides: one that the settings don't have is what makes the module panic here.
@@ -59,12 +59,13 @@
         stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
         let client = Arc::new(Client::new(listener.accept().unwrap().0, Arc::default()));
         let mut message = buffers.take();
-        assert!(message.put(format!("GET /api HTTP/1.1\r\nX-Txn: {id}\r\n").as_bytes()));
+        assert!(message.append(format!("GET /api HTTP/1.1\r\nX-Txn: {id}\r\n").as_bytes()));
         let (at, deadline) = (message.bytes().len(), Instant::now() + Duration::from_secs(60));
-        let open = Arc::new(Open::new(RequestId(id.into()), client, message, at, deadline));
+        let open = Arc::new(PendingRequest::new(RequestId(id.into()), client, message, at, deadline));
         let (class, work_hint) = (ClassId(class), None::<Ms>);
-        let admitted = Admitted { open, class, key: None, tenant: None, work_hint, is_retry: false };
-        notes.send(Note::Taken(Box::new(admitted))).unwrap();
+        let admitted =
+            AdmittedRequest { request: open, class, key: None, tenant: None, work_hint, is_retry: false };
+        notes.send(DecisionInput::RequestAdmitted(Box::new(admitted))).unwrap();
         stream
     };
     let status =
@@ -76,7 +77,7 @@
     let fatal = ask("fatal", 99);
     assert_eq!((status(&held).as_str(), status(&fatal).as_str()), ("502", "502"));
     assert_eq!(status(&ask("next", 0)), "200");
-    assert!(format!("{book}").contains("defects 1"), "{book}");
-    notes.send(Note::Stop).unwrap();
+    assert!(format!("{counters}").contains("defects 1"), "{counters}");
+    notes.send(DecisionInput::Stop).unwrap();
     thread.join().unwrap();
 }
--- a/crates/marshal/tests/sending.rs
+++ b/crates/marshal/tests/sending.rs
@@ -3,13 +3,13 @@
 
 use crossbeam_channel::{bounded, Receiver};
 use milletwing_decision::interface::{Ms, NodeId, Outcome, RequestId};
-use milletwing_marshal::book::{Book, Open};
-use milletwing_marshal::buffers::Buffers;
+use milletwing_marshal::accounting::{Counters, PendingRequest};
+use milletwing_marshal::buffers::BufferPool;
 use milletwing_marshal::client::Client;
-use milletwing_marshal::crew::Crew;
 use milletwing_marshal::limits::{Grant, Limits};
-use milletwing_marshal::send::{Attempt, Node, Senders, Wear};
-use milletwing_marshal::stage::{Note, Out};
+use milletwing_marshal::ports::{AttemptHandle, DecisionInput};
+use milletwing_marshal::send::{Attempt, AttemptExecutor, Node, ReuseStatistics};
+use milletwing_marshal::worker_pool::WorkerPool;
 use milletwing_profile::TransportSettings;
 use milletwing_toy::node::{Node as Toy, Reply};
 use std::io::Read;
@@ -18,9 +18,9 @@
 use std::time::{Duration, Instant};
 
 struct Line {
-    senders: Crew<Arc<Attempt>>,
-    buffers: Buffers,
-    notes: Receiver<Note>,
+    senders: WorkerPool<Arc<Attempt>>,
+    buffers: BufferPool,
+    notes: Receiver<DecisionInput>,
     /// The client's side of the connection that answers go to.
     client: TcpStream,
     served: Arc<Client>,
@@ -37,10 +37,11 @@
 
 fn line() -> Line {
     let limits = limits();
-    let buffers = Buffers::new(limits.buffer, limits.spare_buffers);
+    let buffers = BufferPool::new(limits.buffer_bytes, limits.max_pooled_buffers);
     let (send, notes) = bounded(100);
-    let senders = Senders::new(&limits, &buffers, &Arc::new(Book::default()), send);
-    let senders = Crew::new("send", limits.crew(4, 4), move |it: Arc<Attempt>| senders.work(&it)).unwrap();
+    let senders = AttemptExecutor::new(&limits, &buffers, &Arc::new(Counters::default()), send);
+    let senders =
+        WorkerPool::new("send", limits.pool_options(4, 4), move |it: Arc<Attempt>| senders.run(&it)).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let served = Arc::new(Client::new(listener.accept().unwrap().0, Arc::default()));
@@ -50,24 +51,24 @@
 impl Line {
     fn attempt(&self, node: &Arc<Node>, wait: u64) -> Arc<Attempt> {
         let mut message = self.buffers.take();
-        assert!(message.put(b"GET /api HTTP/1.1\r\nX-Txn: a\r\n"));
+        assert!(message.append(b"GET /api HTTP/1.1\r\nX-Txn: a\r\n"));
         let (now, wait) = (Instant::now(), Duration::from_millis(wait));
         let at = message.bytes().len();
-        let open = Open::new(RequestId("a".into()), self.served.clone(), message, at, now + wait);
+        let open = PendingRequest::new(RequestId("a".into()), self.served.clone(), message, at, now + wait);
         Arc::new(Attempt::new(Arc::new(open), 0, node.clone(), now, now + wait))
     }
     fn end(&self) -> Outcome {
         match self.notes.recv_timeout(Duration::from_secs(20)) {
-            Ok(Note::Ended { verdict, .. }) => verdict,
+            Ok(DecisionInput::AttemptEnded { outcome, .. }) => outcome,
             _ => panic!("no end"),
         }
     }
     /// Hands it over and tells how it ended, once.
     fn run(&self, attempt: &Arc<Attempt>) -> Outcome {
-        assert!(self.senders.hand(attempt.clone()).is_ok());
-        let verdict = self.end();
+        assert!(self.senders.submit(attempt.clone()).is_ok());
+        let outcome = self.end();
         assert!(self.notes.is_empty());
-        verdict
+        outcome
     }
 }
 
@@ -93,9 +94,9 @@
         (|| Reply::RawEnd(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_vec()), Outcome::Reset),
         (|| Reply::Raw(b"nonsense\r\n\r\n".to_vec()), Outcome::Reset),
     ];
-    for (reply, verdict) in cases {
+    for (reply, outcome) in cases {
         let (toy, node) = toy(reply);
-        assert_eq!(line.run(&line.attempt(&node, 20_000)), verdict);
+        assert_eq!(line.run(&line.attempt(&node, 20_000)), outcome);
         assert_eq!(toy.asked().len(), 1);
     }
     let nowhere = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
@@ -113,7 +114,7 @@
     attempt.time_out();
     assert_eq!(line.run(&attempt), Outcome::NotSent);
     assert_eq!(line.run(&line.attempt(&node, 0)), Outcome::NotSent);
-    node.leave();
+    node.remove();
     assert_eq!(line.run(&line.attempt(&node, 20_000)), Outcome::NotSent);
     assert!(toy.asked().is_empty());
     assert_eq!(toy.connections().0, 0);
@@ -123,19 +124,19 @@
 fn an_attempt_that_is_out_ends_as_it_was_given_up_and_its_connection_is_not_used_again() {
     let line = line();
     let (toy, node) = toy(|| Reply::Silent);
-    for (give_up, verdict) in
+    for (give_up, outcome) in
         [(Attempt::cancel as fn(&Attempt), Outcome::Cancelled), (Attempt::time_out, Outcome::Timeout)]
     {
         let attempt = line.attempt(&node, 20_000);
         // Counted before it is handed over: the node may be asked at once, and answers nothing.
         let before = toy.asked().len();
-        assert!(line.senders.hand(attempt.clone()).is_ok());
+        assert!(line.senders.submit(attempt.clone()).is_ok());
         while toy.asked().len() == before && line.notes.is_empty() {
             std::thread::sleep(Duration::from_millis(2));
         }
         give_up(&attempt);
         give_up(&attempt);
-        assert_eq!(line.end(), verdict);
+        assert_eq!(line.end(), outcome);
         attempt.cancel();
         assert_eq!(node.idle(), 0);
     }
@@ -147,8 +148,8 @@
     let line = line();
     let (_toy, node) = toy(|| Reply::Answer(200, b"once".to_vec()));
     let attempt = line.attempt(&node, 20_000);
-    assert!(attempt.open.claim());
-    assert!(!attempt.open.claim());
+    assert!(attempt.request.claim());
+    assert!(!attempt.request.claim());
     assert_eq!(line.run(&attempt), Outcome::Ok);
     assert_eq!(node.idle(), 1);
     // Nothing came to the client.
@@ -163,8 +164,8 @@
     let line = line();
     let (_toy, node) = toy(|| Reply::Answer(200, vec![b'x'; 8 << 20]));
     let attempt = line.attempt(&node, 20_000);
-    assert!(line.senders.hand(attempt.clone()).is_ok());
-    assert!(matches!(line.notes.recv_timeout(Duration::from_secs(20)), Ok(Note::Started(..))));
+    assert!(line.senders.submit(attempt.clone()).is_ok());
+    assert!(matches!(line.notes.recv_timeout(Duration::from_secs(20)), Ok(DecisionInput::StreamStarted(..))));
     let reads_from = Instant::now();
     let mut client = line.client.try_clone().unwrap();
     let reader = std::thread::spawn(move || {
@@ -178,19 +179,24 @@
         all
     });
     match line.notes.recv_timeout(Duration::from_secs(20)) {
-        Ok(Note::Ended { verdict: Outcome::Ok, at, .. }) => assert!(at < reads_from),
+        Ok(DecisionInput::AttemptEnded { outcome: Outcome::Ok, ended_at, .. }) => {
+            assert!(ended_at < reads_from)
+        }
         _ => panic!("no end"),
     }
     assert!(reader.join().unwrap() >= 8 << 20);
     // One that is given up while its client takes nothing, and then leaves.
     let attempt = line.attempt(&node, 20_000);
     let Line { senders, notes, client, .. } = line;
-    assert!(senders.hand(attempt.clone()).is_ok());
-    assert!(matches!(notes.recv_timeout(Duration::from_secs(20)), Ok(Note::Started(..))));
+    assert!(senders.submit(attempt.clone()).is_ok());
+    assert!(matches!(notes.recv_timeout(Duration::from_secs(20)), Ok(DecisionInput::StreamStarted(..))));
     attempt.time_out();
     drop(client);
     let end = notes.recv_timeout(Duration::from_secs(20));
-    assert!(matches!(end, Ok(Note::Ended { verdict: Outcome::Cancelled | Outcome::Timeout, .. })));
+    assert!(matches!(
+        end,
+        Ok(DecisionInput::AttemptEnded { outcome: Outcome::Cancelled | Outcome::Timeout, .. })
+    ));
 }
 
 /// Guards against connections that the other side lets go of sooner than it says: those that stood for long break,
@@ -198,18 +204,18 @@
 #[test]
 fn connections_that_break_after_standing_for_long_are_kept_for_less() {
     let limits = limits();
-    let wear = Wear::default();
+    let reuse = ReuseStatistics::default();
     let (young, old) = (Duration::from_millis(20), Duration::from_millis(250));
     for at in 0..40 {
-        wear.reused(young, at % 20 == 0);
-        wear.reused(old, false);
+        reuse.record(young, at % 20 == 0);
+        reuse.record(old, false);
     }
-    assert_eq!(wear.longest(&limits), Duration::MAX);
-    (0..16).for_each(|at| wear.reused(old, at % 2 == 0));
-    assert_eq!(wear.longest(&limits), Duration::from_millis(200));
-    (0..100).for_each(|_| wear.ease());
-    assert_eq!(wear.longest(&limits), Duration::MAX);
+    assert_eq!(reuse.max_idle_time(&limits), Duration::MAX);
+    (0..16).for_each(|at| reuse.record(old, at % 2 == 0));
+    assert_eq!(reuse.max_idle_time(&limits), Duration::from_millis(200));
+    (0..100).for_each(|_| reuse.decay());
+    assert_eq!(reuse.max_idle_time(&limits), Duration::MAX);
     // Where the youngest break as often, standing is not the cause.
-    (0..40).for_each(|_| (wear.reused(young, true), wear.reused(old, true)).0);
-    assert_eq!(wear.longest(&limits), Duration::MAX);
+    (0..40).for_each(|_| (reuse.record(young, true), reuse.record(old, true)).0);
+    assert_eq!(reuse.max_idle_time(&limits), Duration::MAX);
 }
--- a/crates/marshal/tests/turnover.rs
+++ b/crates/marshal/tests/turnover.rs
@@ -57,8 +57,8 @@
     log::set_max_level(log::LevelFilter::Info);
     let nodes = [serving("a"), serving("b"), serving("c")];
     let world = World::with(&[&nodes[0], &nodes[1], &nodes[2]], |limits| {
-        limits.report = Duration::from_millis(20);
-        limits.rest = Duration::from_millis(50);
+        limits.report_interval = Duration::from_millis(20);
+        limits.worker_idle_timeout = Duration::from_millis(50);
     });
     let mut held = Vec::new();
     let mut asked = 0;
--- a/crates/marshal/tests/whole/answers.rs
+++ b/crates/marshal/tests/whole/answers.rs
@@ -25,7 +25,7 @@
     assert_eq!(asked[1].body, b"hello");
     assert_eq!((asked[1].get("X-Txn"), asked[1].get("Idempotency-Key")), (Some("k1"), Some("abc")));
     assert_eq!((asked[1].get("X-Org"), asked[1].get("X-Labels")), (None, Some("a=1")));
-    let told = asked[1].get("X-Remaining").and_then(milletwing_marshal::wire::remaining).unwrap();
+    let told = asked[1].get("X-Remaining").and_then(milletwing_marshal::wire::parse_remaining).unwrap();
     assert!(told <= Duration::from_millis(900));
     assert_eq!(asked[1].headers.iter().filter(|(name, _)| name == "X-Remaining").count(), 1);
     assert_eq!(node.connections().0, 1);
@@ -148,7 +148,7 @@
     until("the node is asked", || silent.asked().len() == 1);
     client.stream.shutdown(Shutdown::Both).unwrap();
     until("the node's connection ends", || silent.connections() == (1, 1));
-    until("it is counted", || format!("{}", world.server.book()).contains("gone 1 "));
+    until("it is counted", || format!("{}", world.server.counters()).contains("gone 1 "));
 }
 
 #[test]
@@ -182,7 +182,7 @@
     let request = lookup("5000m");
     let mut first = world.client();
     first.send(request.as_bytes());
-    until("the first is out", || format!("{}", world.server.book()).contains("attempts 1 "));
+    until("the first is out", || format!("{}", world.server.counters()).contains("attempts 1 "));
     assert_eq!(world.ask(&request).word(1), "409");
     assert_eq!(first.answer().word(1), "200");
 }
@@ -224,7 +224,7 @@
 #[test]
 fn idle_connections_give_way_at_the_limit() {
     let node = serving("ok");
-    let world = World::with(&[&node], |limits| limits.clients = 3);
+    let world = World::with(&[&node], |limits| limits.max_clients = 3);
     let mut clients: Vec<Client> = Vec::new();
     for _ in 0..8 {
         let mut client = world.client();
@@ -244,7 +244,7 @@
     assert_eq!(world.ask(&pay("250m")).word(1), "502");
     assert_eq!(World::of(&[&node]).ask(&pay("5000m")).word(1), "502");
     until("the node's connections end", || node.connections() == (2, 2));
-    assert!(format!("{}", world.server.book()).contains("defects 0"));
+    assert!(format!("{}", world.server.counters()).contains("defects 0"));
 }
 
 /// Guards against taking a long answer for a spoilt one: it is passed on as it comes, and where it breaks off the
@@ -275,9 +275,12 @@
     assert_eq!(node.asked().len(), asked + 1);
     assert!(world.ask(&lookup("5000m")).body == long);
     // The last is counted once it is written, which its client may see first.
-    until("all are counted", || format!("{}", world.server.book()).contains("served 5 "));
-    let book = format!("{}", world.server.book());
-    assert!(book.contains("served 5 ") && book.contains("failed 1 ") && book.contains("defects 0"), "{book}");
+    until("all are counted", || format!("{}", world.server.counters()).contains("served 5 "));
+    let counters = format!("{}", world.server.counters());
+    assert!(
+        counters.contains("served 5 ") && counters.contains("failed 1 ") && counters.contains("defects 0"),
+        "{counters}"
+    );
 }
 
 /// Guards against failing a request that must not run twice for a kept connection which its node drops at the next
@@ -304,11 +307,11 @@
         |_| None,
         |limits| {
             // An answer takes twice that here, and the module refuses what it expects after 240 ms: far from both.
-            limits.hold_last = std::time::Duration::from_millis(60);
+            limits.last_byte_delay = std::time::Duration::from_millis(60);
         },
     );
     for _ in 0..6 {
         let answer = world.ask(&pay("5000m"));
-        assert_eq!(answer.word(1), "200", "{answer:?} {}", world.server.book());
+        assert_eq!(answer.word(1), "200", "{answer:?} {}", world.server.counters());
     }
 }
--- a/crates/marshal/tests/whole/bad_input.rs
+++ b/crates/marshal/tests/whole/bad_input.rs
@@ -117,13 +117,14 @@
     }
     assert!(node.asked().is_empty());
     assert_eq!(world.ask(&lookup("2000m")).word(1), "200");
-    assert!(format!("{}", world.server.book()).contains(&format!("malformed {} ", cases.len())));
+    assert!(format!("{}", world.server.counters()).contains(&format!("malformed {} ", cases.len())));
 }
 
 #[test]
 fn a_request_that_comes_byte_by_byte_is_served() {
     let node = serving("ok");
-    let world = World::with(&[&node], |limits| limits.client_read = std::time::Duration::from_secs(20));
+    let world =
+        World::with(&[&node], |limits| limits.client_read_timeout = std::time::Duration::from_secs(20));
     let mut client = world.client();
     for byte in lookup("20000m").as_bytes() {
         client.send(&[*byte]);
@@ -135,7 +136,8 @@
 fn clients_that_break_off_or_stop_reading_hold_up_nobody() {
     let large = vec![b'z'; 64 << 10];
     let node = node(move |_| Reply::Answer(200, large.clone()));
-    let world = World::with(&[&node], |limits| limits.client_write = std::time::Duration::from_millis(100));
+    let world =
+        World::with(&[&node], |limits| limits.client_write_timeout = std::time::Duration::from_millis(100));
     for at in [1, 10, 60] {
         let mut client = world.client();
         client.send(&lookup("900m").as_bytes()[..at]);
@@ -148,7 +150,7 @@
     assert_eq!(world.ask(&lookup("5000m")).body.len(), 64 << 10);
     drop(deaf);
     until("all have ended", || {
-        let text = format!("{}", world.server.book());
+        let text = format!("{}", world.server.counters());
         !text.is_empty() && world.ask(&lookup("5000m")).word(1) == "200"
     });
 }
@@ -187,9 +189,9 @@
 fn half_an_answer_of_discovery_or_the_platform_ends_the_connection_soon() {
     let (first, second) = (serving("first"), serving("second"));
     let world = World::with(&[&first], |limits| {
-        limits.watch = std::time::Duration::from_secs(3600);
-        limits.rest_of_answer = std::time::Duration::from_millis(50);
-        limits.platform_silence = std::time::Duration::from_secs(3600);
+        limits.watch_wait = std::time::Duration::from_secs(3600);
+        limits.partial_response_timeout = std::time::Duration::from_millis(50);
+        limits.platform_silence_timeout = std::time::Duration::from_secs(3600);
     });
     until("it subscribes", || world.platform.subscribed() == 1);
     until("it watches", || !world.discovery.calls().is_empty());
@@ -223,9 +225,9 @@
 fn whoever_sends_no_whole_request_is_answered_or_ended_by_a_time_from_connecting() {
     let node = serving("ok");
     let world = World::with(&[&node], |limits| {
-        limits.client_first = std::time::Duration::from_millis(300);
-        limits.client_read = std::time::Duration::from_secs(3600);
-        limits.client_idle = std::time::Duration::from_secs(3600);
+        limits.first_request_timeout = std::time::Duration::from_millis(300);
+        limits.client_read_timeout = std::time::Duration::from_secs(3600);
+        limits.client_idle_timeout = std::time::Duration::from_secs(3600);
     });
     let mut usual = world.client();
     usual.send(lookup("5000m").as_bytes());
@@ -251,9 +253,9 @@
 fn who_never_sent_a_whole_request_gives_way_before_usual_clients() {
     let node = serving("ok");
     let world = World::with(&[&node], |limits| {
-        (limits.clients, limits.spare_clients) = (4, 4);
-        limits.client_first = std::time::Duration::from_secs(3600);
-        limits.first_bytes = std::time::Duration::ZERO;
+        (limits.max_clients, limits.max_excess_clients) = (4, 4);
+        limits.first_request_timeout = std::time::Duration::from_secs(3600);
+        limits.partial_request_grace = std::time::Duration::ZERO;
     });
     let mut usual: Vec<Client> = (0..3).map(|_| world.client()).collect();
     let mut ask = |at: usize| {
@@ -278,10 +280,10 @@
 fn in_a_crowd_idle_connections_give_way_to_new_ones() {
     let node = serving("ok");
     let world = World::with(&[&node], |limits| {
-        (limits.crowd, limits.crowd_idle) = (4, std::time::Duration::ZERO);
-        limits.first_bytes = std::time::Duration::from_secs(3600);
-        limits.crowd_look = std::time::Duration::from_millis(5);
-        limits.client_idle = std::time::Duration::from_secs(3600);
+        (limits.idle_eviction_threshold, limits.idle_eviction_age) = (4, std::time::Duration::ZERO);
+        limits.partial_request_grace = std::time::Duration::from_secs(3600);
+        limits.idle_eviction_interval = std::time::Duration::from_millis(5);
+        limits.client_idle_timeout = std::time::Duration::from_secs(3600);
     });
     let mut stayed = Vec::new();
     for _ in 0..20 {
@@ -298,7 +300,7 @@
 #[test]
 fn a_body_far_too_long_is_answered_at_once_and_not_read_to_its_end() {
     let node = serving("ok");
-    let world = World::with(&[&node], |limits| limits.linger = std::time::Duration::from_secs(3600));
+    let world = World::with(&[&node], |limits| limits.linger_timeout = std::time::Duration::from_secs(3600));
     let mut client = world.client();
     let id = id();
     client.send(
@@ -397,7 +399,7 @@
     let slow = node(|_| {
         Reply::After(std::time::Duration::from_millis(60), Box::new(Reply::Answer(200, Vec::new())))
     });
-    let world = World::with(&[&slow], |limits| limits.node_connections = 2);
+    let world = World::with(&[&slow], |limits| limits.max_node_connections = 2);
     let mut clients: Vec<Client> = (0..12).map(|_| world.client()).collect();
     for client in &mut clients {
         client.send(lookup("5000m").as_bytes());
@@ -406,7 +408,7 @@
     assert!(words.iter().all(|word| word == "200" || word == "503"), "{words:?}");
     assert!(words.iter().filter(|word| *word == "200").count() >= 2, "{words:?}");
     assert!(slow.connections().0 <= 2);
-    assert!(format!("{}", world.server.book()).contains("taken 12 "));
+    assert!(format!("{}", world.server.counters()).contains("taken 12 "));
 }
 
 /// Guards against requests that wait in the queue of connections until their time is over: where every connection
@@ -414,19 +416,19 @@
 #[test]
 fn above_the_limit_of_connections_requests_are_turned_away_at_once() {
     let silent = node(|_| Reply::Silent);
-    let world = World::with(&[&silent], |limits| (limits.clients, limits.spare_clients) = (2, 4));
+    let world = World::with(&[&silent], |limits| (limits.max_clients, limits.max_excess_clients) = (2, 4));
     let mut held: Vec<Client> = (0..2).map(|_| world.client()).collect();
     for client in &mut held {
         client.send(pay("60000m").as_bytes());
     }
-    until("both are out", || format!("{}", world.server.book()).contains("attempts 2 "));
+    until("both are out", || format!("{}", world.server.counters()).contains("attempts 2 "));
     for _ in 0..6 {
         let mut client = world.client();
         client.send(lookup("60000m").as_bytes());
         let answer = client.answer();
         assert_eq!((answer.word(1), answer.get("Connection")), ("503", Some("close")));
     }
-    assert!(format!("{}", world.server.book()).contains("turned away 6 "));
+    assert!(format!("{}", world.server.counters()).contains("turned away 6 "));
     for client in &mut held {
         assert_eq!(client.answer().word(1), "502");
     }
@@ -435,6 +437,6 @@
     until("a request is taken again", || {
         let last = world.ask(&pay("900m"));
         assert!(matches!(last.word(1), "502" | "503"), "{last:?}");
-        format!("{}", world.server.book()).contains("taken 3 ")
+        format!("{}", world.server.counters()).contains("taken 3 ")
     });
 }
--- a/crates/marshal/tests/whole/outside.rs
+++ b/crates/marshal/tests/whole/outside.rs
@@ -159,8 +159,10 @@
         .collect();
     let served: usize = clients.into_iter().map(|client| client.join().unwrap()).sum();
     // The last is counted once it is written, which its client may see first.
-    until("all are counted", || format!("{}", world.server.book()).contains(&format!("served {served} ")));
-    let book = format!("{}", world.server.book());
-    assert!(book.contains("taken 400 ") && book.contains("defects 0"), "{book}");
-    assert!(served > 0 && book.contains(&format!("served {served} ")), "{book}");
+    until("all are counted", || {
+        format!("{}", world.server.counters()).contains(&format!("served {served} "))
+    });
+    let counters = format!("{}", world.server.counters());
+    assert!(counters.contains("taken 400 ") && counters.contains("defects 0"), "{counters}");
+    assert!(served > 0 && counters.contains(&format!("served {served} ")), "{counters}");
 }
--- a/crates/marshal/tests/whole/support.rs
+++ b/crates/marshal/tests/whole/support.rs
@@ -37,10 +37,10 @@
 /// Short times where the real ones would only make tests wait.
 pub fn limits(config: &Config) -> Limits {
     Limits {
-        accept_after_stop: Duration::from_millis(100),
-        watch: Duration::from_millis(300),
+        stop_accept_period: Duration::from_millis(100),
+        watch_wait: Duration::from_millis(300),
         watch_margin: Duration::from_millis(300),
-        client_read: Duration::from_millis(300),
+        client_read_timeout: Duration::from_millis(300),
         ..Limits::new(config.grant, &config.transport)
     }
 }
@@ -68,7 +68,7 @@
         let numbers: Vec<f64> = [0, 1, 3, 4].iter().map(|&at| words[at].parse().unwrap()).collect();
         let phase = milletwing_marshal::wire::phase(words[2]).unwrap();
         let state = [numbers[0], numbers[1], numbers[2], numbers[3]];
-        config.news = Some(milletwing_marshal::wire::news(state, phase, false));
+        config.news = Some(milletwing_marshal::wire::stage_report(state, phase, false));
         let mut limits = limits(&config);
         change(&mut limits);
         let server = Server::start_with(config, limits).unwrap();
--- a/crates/milletwing/src/main.rs
+++ b/crates/milletwing/src/main.rs
@@ -6,8 +6,8 @@
 use argh::FromArgs;
 use crossbeam_channel::Receiver;
 use milletwing_group_server::{Joiner, Keeping};
-use milletwing_marshal::server::{Extras, Fronting, Gating, Joining};
-use milletwing_marshal::{Config, Limits, Server, Signs};
+use milletwing_marshal::server::{Extensions, FrontEnd, GroupJoiner, ReleaseGate};
+use milletwing_marshal::{Config, Limits, ProcessSignals, Server};
 use milletwing_processor_server::{settings as processor, Front};
 use milletwing_releases_server::{Host, Record, Settings};
 
@@ -113,25 +113,25 @@
             println!("{}", processor::Settings::from_file(&file)?.summary());
         }
         Call::Serve(Serve { config, group, releases, processor }) => {
-            let signs = Signs::new().map_err(|problem| format!("signals: {problem}"))?;
+            let signs = ProcessSignals::new().map_err(|problem| format!("signals: {problem}"))?;
             let path = path(config)?;
             let config = Config::from_file(&path)?;
             let limits = Limits::new(config.grant, &config.transport);
             let group = group.map(|file| Joiner::from_file(&file)).transpose()?;
             // Where instances form a group, the gate's state is the group's.
             let shared = group.as_ref().map(|joiner| Shared(joiner.keeping()));
-            let group = group.map(|joiner| -> Box<dyn Joining> { Box::new(joiner) });
+            let group = group.map(|joiner| -> Box<dyn GroupJoiner> { Box::new(joiner) });
             let host = |file: String| match shared {
                 None => Host::start(Settings::from_file(&file)?),
                 Some(shared) => Host::start_shared(Settings::from_file(&file)?, Box::new(shared)),
             };
             let host = releases.map(host).transpose()?;
-            let gate = host.map(|host| -> Box<dyn Gating> { Box::new(host) });
+            let gate = host.map(|host| -> Box<dyn ReleaseGate> { Box::new(host) });
             let front =
                 |file: String| processor::Settings::from_file(&file).map(|settings| Front { settings });
             let front = processor.map(front).transpose()?;
-            let front = front.map(|front| -> Box<dyn Fronting> { Box::new(front) });
-            let server = Server::start_in(config, limits, Extras { group, gate, front });
+            let front = front.map(|front| -> Box<dyn FrontEnd> { Box::new(front) });
+            let server = Server::start_with_extensions(config, limits, Extensions { group, gate, front });
             let server = server.map_err(|problem| format!("starting: {problem}"))?;
             return Ok(server.serve(signs, || Config::again(&path)));
         }
--- a/crates/processor-server/src/front.rs
+++ b/crates/processor-server/src/front.rs
@@ -9,10 +9,12 @@
     ClassId, FleetUpdateKind, Key, Ms, NodeEntry, NodeId, NodeState, Outcome as End, RequestId, RetrySafety,
     Settings as Decisions, TenantId,
 };
-use milletwing_marshal::book::{count, Open};
-use milletwing_marshal::clock::span;
-use milletwing_marshal::server::{Around, Fronting};
-use milletwing_marshal::stage::{Admitted, Answering, Carrier, Note, Order, Out, Word};
+use milletwing_marshal::accounting::{increment, PendingRequest};
+use milletwing_marshal::clock::to_duration;
+use milletwing_marshal::ports::{
+    AdmittedRequest, AttemptHandle, AttemptOrder, AttemptSender, DecisionInput, LocalResponse, ResponseSender,
+};
+use milletwing_marshal::server::{FrontEnd, FrontEndContext};
 use milletwing_processor::table::{Class, Decision};
 use milletwing_processor::{Ask, Earlier, Outcome, Output, Refusal, Table, Verdict};
 use milletwing_profile::index_of;
@@ -48,7 +50,7 @@
     words: Sender<Told>,
 }
 
-impl Out for Carried {
+impl AttemptHandle for Carried {
     fn cancel(&self) {
         let _ = self.words.send(Told::GiveUp(self.id.clone(), self.copy, End::Cancelled));
         // it ends only with us
@@ -57,7 +59,7 @@
         let _ = self.words.send(Told::GiveUp(self.id.clone(), self.copy, End::Timeout));
         // it ends only with us
     }
-    fn passes(&self) -> bool {
+    fn is_streaming(&self) -> bool {
         false
     }
     fn describe(&self) -> String {
@@ -65,16 +67,16 @@
     }
 }
 
-impl Carrier for Ports {
-    fn begin(&mut self, order: Order) -> Option<Arc<dyn Out>> {
-        let (id, copy, words) = (order.open.id.clone(), order.copy, self.0.clone());
+impl AttemptSender for Ports {
+    fn start(&mut self, order: AttemptOrder) -> Option<Arc<dyn AttemptHandle>> {
+        let (id, copy, words) = (order.request.id.clone(), order.attempt, self.0.clone());
         // Guards against a decision thread that waits for a full queue: the attempt never began.
         self.0.try_send(Told::Begin(order)).ok()?;
         Some(Arc::new(Carried { id, copy, words }))
     }
-    fn fleet(&mut self, form: FleetUpdateKind, entries: &[(NodeEntry, SocketAddr)]) {
+    fn update_fleet(&mut self, kind: FleetUpdateKind, entries: &[(NodeEntry, SocketAddr)]) {
         let mut nodes = self.1.write().unwrap_or_else(PoisonError::into_inner);
-        if matches!(form, FleetUpdateKind::Replace | FleetUpdateKind::Restored) {
+        if matches!(kind, FleetUpdateKind::Replace | FleetUpdateKind::Restored) {
             nodes.clear();
         }
         for (entry, at) in entries {
@@ -91,19 +93,22 @@
     }
 }
 
-impl Answering for Ports {
-    fn hand(&self, open: Arc<Open>, word: Word) -> bool {
-        self.0.try_send(Told::Word(open, word)).is_ok()
+impl ResponseSender for Ports {
+    fn enqueue(&self, request: Arc<PendingRequest>, response: LocalResponse) -> bool {
+        self.0.try_send(Told::Word(request, response)).is_ok()
     }
 }
 
-impl Fronting for Front {
+impl FrontEnd for Front {
     /// A verdict may be used so much later than it was given: the module's margins (of windows of exposure on either side,
     /// and of the time for which nodes drop repeats) are at least as wide.
     fn settings(&self, decisions: &mut Decisions) {
         decisions.tick = decisions.tick.max(Ms(self.settings.begin_within_ms));
     }
-    fn start(self: Box<Self>, around: Around) -> io::Result<(Box<dyn Carrier>, Box<dyn Answering>)> {
+    fn start(
+        self: Box<Self>,
+        around: FrontEndContext,
+    ) -> io::Result<(Box<dyn AttemptSender>, Box<dyn ResponseSender>)> {
         let wrong = |why: String| io::Error::other(format!("processor: {why}"));
         let settings = self.settings;
         // A verdict used at its last moment must still be within the grace for drains, with room for its way.
@@ -131,10 +136,10 @@
 }
 
 struct Thread {
-    around: Around,
+    around: FrontEndContext,
     table: Table,
     /// Requests that owe their answer.
-    open: HashMap<RequestId, Arc<Open>>,
+    open: HashMap<RequestId, Arc<PendingRequest>>,
     streams: BTreeMap<u64, mpsc::Sender<Result<ToProxy, tonic::Status>>>,
     nodes: Addresses,
     /// What a first ask tells beyond what the table needs, until the module is told.
@@ -180,18 +185,23 @@
             }
             Told::Came(stream, message) => self.came(now, stream, message, out),
             Told::Begin(order) => {
-                let until = self.around.clock.ms(order.until);
-                if !self.table.decided(now, &order.open.id, Decision::Send(order.node, until), out) {
-                    let (id, copy, at) = (order.open.id.clone(), order.copy, Instant::now());
-                    let _ = self.around.notes.send(Note::Ended { id, copy, verdict: End::NotSent, at });
+                let until = self.around.clock.ms(order.deadline);
+                if !self.table.decided(now, &order.request.id, Decision::Send(order.node, until), out) {
+                    let (id, attempt, ended_at) = (order.request.id.clone(), order.attempt, Instant::now());
+                    let _ = self.around.inputs.send(DecisionInput::AttemptEnded {
+                        id,
+                        attempt,
+                        outcome: End::NotSent,
+                        ended_at,
+                    });
                     // it ends only with us
                 }
             }
             Told::GiveUp(id, copy, end) => self.table.give_up(now, &id, copy, end, out),
             Told::Word(open, word) => {
                 let decision = match word {
-                    Word::Refused(wait) => Decision::Refused(wait),
-                    Word::Failed | Word::Status(_) => Decision::Failed,
+                    LocalResponse::Refused(wait) => Decision::Refused(wait),
+                    LocalResponse::Failed | LocalResponse::Status(_) => Decision::Failed,
                 };
                 self.table.decided(now, &open.id, decision, out);
             }
@@ -309,25 +319,32 @@
             Output::Taken(id, class, left) => {
                 let (tenant, key) = self.asks.remove(&id).unwrap_or_default();
                 let once = self.around.settings.classes[class].retry_safety == RetrySafety::AtMostOnce;
-                let open = Arc::new(Open::asked(id.clone(), once, Instant::now() + span(left)));
-                count(&self.around.book.taken);
+                let open = Arc::new(PendingRequest::carried_elsewhere(
+                    id.clone(),
+                    once,
+                    Instant::now() + to_duration(left),
+                ));
+                increment(&self.around.counters.taken);
                 self.open.insert(id, open.clone());
                 let (class, work_hint, is_retry) = (ClassId(class), None, false);
-                let admitted = Admitted { open, class, key, tenant, work_hint, is_retry };
-                self.around.notes.send(Note::Taken(Box::new(admitted))).is_ok()
+                let admitted = AdmittedRequest { request: open, class, key, tenant, work_hint, is_retry };
+                self.around.inputs.send(DecisionInput::RequestAdmitted(Box::new(admitted))).is_ok()
             }
-            Output::Ended(id, copy, _, verdict, took) => {
-                let served = verdict == End::Ok && self.open.get(&id).is_some_and(|open| open.claim());
+            Output::Ended(id, attempt, _, outcome, took) => {
+                let served = outcome == End::Ok && self.open.get(&id).is_some_and(|open| open.claim());
                 if served {
-                    count(&self.around.book.served);
+                    increment(&self.around.counters.served);
                 }
                 // The attempt's time is its own, not that of its report's way here.
-                let at = Instant::now();
+                let ended_at = Instant::now();
                 let _ = took;
-                self.around.notes.send(Note::Ended { id, copy, verdict, at }).is_ok()
+                self.around
+                    .inputs
+                    .send(DecisionInput::AttemptEnded { id, attempt, outcome, ended_at })
+                    .is_ok()
             }
             Output::Gone(id) => match self.open.get(&id) {
-                Some(open) => self.around.notes.send(Note::Gone(open.clone())).is_ok(),
+                Some(open) => self.around.inputs.send(DecisionInput::ClientLeft(open.clone())).is_ok(),
                 None => true,
             },
         }
--- a/crates/processor-server/src/told.rs
+++ b/crates/processor-server/src/told.rs
@@ -2,8 +2,8 @@
 
 use crate::wire::{FromProxy, ToProxy};
 use milletwing_decision::interface::{Outcome as End, RequestId};
-use milletwing_marshal::book::Open;
-use milletwing_marshal::stage::{Order, Word};
+use milletwing_marshal::accounting::PendingRequest;
+use milletwing_marshal::ports::{AttemptOrder, LocalResponse};
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
@@ -16,9 +16,9 @@
     /// A message came on it.
     Came(u64, FromProxy),
     /// The module sends a try.
-    Begin(Order),
+    Begin(AttemptOrder),
     /// The module gives up on one.
     GiveUp(RequestId, u32, End),
     /// The module answers.
-    Word(Arc<Open>, Word),
+    Word(Arc<PendingRequest>, LocalResponse),
 }
--- a/crates/processor-server/tests/front.rs
+++ b/crates/processor-server/tests/front.rs
@@ -1,7 +1,7 @@
 //! A stand-in proxy on real streams: it carries requests itself, as verdicts tell it, and breaks in every way that it may.
 //! The nodes' own records say how often a request ran.
 
-use milletwing_marshal::server::Extras;
+use milletwing_marshal::server::Extensions;
 use milletwing_marshal::{Config, Limits, Server};
 use milletwing_processor_server::wire::verdicts_client::VerdictsClient;
 use milletwing_processor_server::wire::{
@@ -58,8 +58,9 @@
     let limits = Limits::new(config.grant, &config.transport);
     let at = milletwing_toy::free().unwrap();
     let settings = Settings::read(&format!("{{listen: \"{at}\", streams: {streams}, queue: 64}}")).unwrap();
-    let front = Some(Box::new(Front { settings }) as Box<dyn milletwing_marshal::server::Fronting>);
-    let server = Server::start_in(config, limits, Extras { front, ..Extras::default() }).unwrap();
+    let front = Some(Box::new(Front { settings }) as Box<dyn milletwing_marshal::server::FrontEnd>);
+    let server =
+        Server::start_with_extensions(config, limits, Extensions { front, ..Extensions::default() }).unwrap();
     World { nodes, at, server, _around: (discovery, platform) }
 }
 
@@ -173,7 +174,7 @@
             assert!(class != "pay" || world.runs(&id) <= 1, "{id} ran {} times", world.runs(&id));
         }
         assert!(served > 60 && failed > 5, "{served} {failed}");
-        assert!(format!("{}", world.server.book()).contains("taken 120 "), "{}", world.server.book());
+        assert!(format!("{}", world.server.counters()).contains("taken 120 "), "{}", world.server.counters());
     });
     // The marshal's own front goes on beside it.
     let stream = TcpStream::connect(world.server.listen).unwrap();
--- a/crates/releases-server/src/host.rs
+++ b/crates/releases-server/src/host.rs
@@ -8,8 +8,8 @@
 use milletwing_decision::interface::{
     Build, Event, Ms, PermitTable, Phase as Told, Settings as Decisions, StageReport, TenantId, Vote, ZoneId,
 };
-use milletwing_marshal::server::Gating;
-use milletwing_marshal::stage::{Note, Watching};
+use milletwing_marshal::ports::{DecisionInput, RolloutObserver};
+use milletwing_marshal::server::ReleaseGate;
 use milletwing_releases::engine::{Change, Engine, Now, Phase, State, Verdict};
 use milletwing_releases::model::{Edition, Model};
 use milletwing_releases::planner::Planner;
@@ -62,7 +62,7 @@
     service: usize,
     zones: Vec<ZoneId>,
     tenants: Vec<TenantId>,
-    notes: Sender<Note>,
+    notes: Sender<DecisionInput>,
 }
 
 enum Word {
@@ -205,7 +205,7 @@
         service: usize,
         zones: &[String],
         tenants: &[String],
-        notes: Sender<Note>,
+        notes: Sender<DecisionInput>,
     ) -> Result<Watcher, String> {
         let at = |list: &[String], what: &str, name: &String| {
             let place = list.iter().position(|other| other == name);
@@ -234,8 +234,8 @@
     service: usize,
 }
 
-impl Watching for Watcher {
-    fn told(&self, news: &StageReport) {
+impl RolloutObserver for Watcher {
+    fn stage_reported(&self, news: &StageReport) {
         let verdict = match news.phase {
             Told::Reverting | Told::Withdrawn => Verdict::Back,
             Told::Released => Verdict::On,
@@ -245,7 +245,7 @@
         let _ = self.words.try_send(Word::Say(self.service, news.build, verdict));
         // the platform tells again
     }
-    fn cast(&self, build: Build, vote: Vote) {
+    fn vote_cast(&self, build: Build, vote: Vote) {
         // Going on is the platform's to say; going back counts from the vote on.
         if vote == Vote::Revert {
             let _ = self.words.try_send(Word::Say(self.service, build, Verdict::Back));
@@ -255,7 +255,7 @@
 }
 
 /// The gate of an instance's own service.
-impl Gating for Host {
+impl ReleaseGate for Host {
     fn settings(&self, decisions: &mut Decisions) {
         decisions.require_permits = true;
     }
@@ -263,8 +263,8 @@
         self: Box<Self>,
         zones: &[String],
         tenants: &[String],
-        notes: Sender<Note>,
-    ) -> io::Result<Box<dyn Watching>> {
+        notes: Sender<DecisionInput>,
+    ) -> io::Result<Box<dyn RolloutObserver>> {
         let watcher = self.attach(self.service, zones, tenants, notes).map_err(io::Error::other)?;
         Ok(Box::new(watcher))
     }
@@ -454,7 +454,8 @@
         }
         let (number, life) = (table.number, Ms(table.life as f64));
         let permits = Arc::new(PermitTable { version: number, ttl: life, released, in_rollout: moving });
-        let _ = attached.notes.send(Note::Told(Event::PermitTable(permits))); // the marshal may have ended
+        let _ = attached.notes.send(DecisionInput::Event(Event::PermitTable(permits)));
+        // the marshal may have ended
     }
 
     /// Answers a call; one that waits for the group is answered once that has taken it.
--- a/crates/releases-server/tests/gate.rs
+++ b/crates/releases-server/tests/gate.rs
@@ -2,7 +2,7 @@
 
 use crossbeam_channel::{bounded, unbounded, Receiver, Sender};
 use milletwing_decision::interface::{Build, Event, PermitTable, TenantId, ZoneId};
-use milletwing_marshal::stage::{Note, Watching};
+use milletwing_marshal::ports::{DecisionInput, RolloutObserver};
 use milletwing_releases::engine::{Change, Engine, Now, State, Verdict};
 use milletwing_releases::model::Edition;
 use milletwing_releases_server::journal::Journal;
@@ -128,7 +128,7 @@
     Settings::from_file(&file.display().to_string()).unwrap()
 }
 
-fn attach(host: &Host, service: usize) -> (Receiver<Note>, impl Watching) {
+fn attach(host: &Host, service: usize) -> (Receiver<DecisionInput>, impl RolloutObserver) {
     let (notes, told) = bounded(1000);
     let zones = ["nave-2", "nave-1"].map(String::from);
     let tenants = ["dulces-antigua", "licores-lago", "cafetera-sur"].map(String::from);
@@ -136,9 +136,9 @@
     (told, watcher)
 }
 
-fn table(told: &Receiver<Note>) -> Arc<PermitTable> {
+fn table(told: &Receiver<DecisionInput>) -> Arc<PermitTable> {
     match told.recv_timeout(Duration::from_secs(20)).expect("a table") {
-        Note::Told(Event::PermitTable(table)) => table,
+        DecisionInput::Event(Event::PermitTable(table)) => table,
         _ => panic!("something else"),
     }
 }
@@ -160,7 +160,7 @@
     );
     let strangers = host.attach(0, &["nave-1".into()], &[], bounded(1).0);
     assert!(strangers.err().unwrap().contains("no zone `nave-2`"));
-    watch.told(&milletwing_marshal::wire::news(
+    watch.stage_reported(&milletwing_marshal::wire::stage_report(
         [7.0, 2.0, 1.0, 0.0],
         milletwing_decision::interface::Phase::Released,
         false,
@@ -174,7 +174,7 @@
         assert!(!table.released.contains(&(Build(2), ZoneId(1), TenantId(0))));
     }
     let last = prensa.try_iter().last();
-    let Some(Note::Told(Event::PermitTable(last))) = last else { panic!("tables are renewed") };
+    let Some(DecisionInput::Event(Event::PermitTable(last))) = last else { panic!("tables are renewed") };
     assert!(last.released.contains(&(Build(7), ZoneId(1), TenantId(1))));
     host.stop();
     let mut again = settings(&folder.0, "0.02");
@@ -287,7 +287,7 @@
     assert!(told.iter().all(|told| table(told).in_rollout.is_empty()), "nobody leads yet");
     register.lock().unwrap().lose = 1; // put again after a while
     register.lock().unwrap().leader = 0;
-    let moving = |told: &Receiver<Note>| {
+    let moving = |told: &Receiver<DecisionInput>| {
         std::iter::repeat_with(|| table(told)).find(|t| !t.in_rollout.is_empty()).unwrap()
     };
     let [first, other] = [moving(&told[0]), moving(&told[1])];
@@ -296,7 +296,7 @@
     let refused = milletwing_admin::call(hosts[1].1, &say("on")).unwrap_err();
     assert!(refused.contains("does not lead its group"), "{refused}");
     milletwing_admin::call(hosts[0].1, &say("on")).unwrap();
-    let out = |told: &Receiver<Note>| {
+    let out = |told: &Receiver<DecisionInput>| {
         let entry = (Build(7), ZoneId(1), TenantId(1));
         std::iter::repeat_with(|| table(told)).find(|table| table.released.contains(&entry)).unwrap()
     };
@@ -305,7 +305,7 @@
     register.lock().unwrap().members[0].0 = true;
     register.lock().unwrap().leader = 1;
     milletwing_admin::call(hosts[1].1, &say("back")).unwrap();
-    let gone = |told: &Receiver<Note>| {
+    let gone = |told: &Receiver<DecisionInput>| {
         std::iter::repeat_with(|| table(told))
             .find(|table| !table.released.iter().any(|(b, ..)| *b == Build(7)))
     };
--- a/crates/trials/src/main.rs
+++ b/crates/trials/src/main.rs
@@ -2,8 +2,8 @@
 
 use argh::FromArgs;
 use milletwing_group_server::Joiner;
-use milletwing_marshal::server::{Extras, Joining};
-use milletwing_marshal::{Config, Limits, Server, Signs};
+use milletwing_marshal::server::{Extensions, GroupJoiner};
+use milletwing_marshal::{Config, Limits, ProcessSignals, Server};
 use milletwing_trials::{demo, fleet, group, judging, measure, releases, soak};
 use serde_json::Value;
 
@@ -201,12 +201,12 @@
 
 fn instance(Instance { config: path, group }: Instance) -> Result<bool, String> {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
-    let signs = Signs::new().map_err(|problem| problem.to_string())?;
+    let signs = ProcessSignals::new().map_err(|problem| problem.to_string())?;
     let config = Config::from_file(&path)?;
     let limits = Limits::new(config.grant, &config.transport);
     let group = group.map(|file| Joiner::from_file(&file)).transpose()?;
-    let group = group.map(|joiner| -> Box<dyn Joining> { Box::new(joiner) });
-    let server = Server::start_in(config, limits, Extras { group, ..Extras::default() })
+    let group = group.map(|joiner| -> Box<dyn GroupJoiner> { Box::new(joiner) });
+    let server = Server::start_with_extensions(config, limits, Extensions { group, ..Extensions::default() })
         .map_err(|problem| problem.to_string())?;
     Ok(server.serve(signs, || Config::again(&path)))
 }
--- a/crates/trials/src/releases.rs
+++ b/crates/trials/src/releases.rs
@@ -7,8 +7,8 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use milletwing_admin as admin;
 use milletwing_decision::interface::{Build, Event, Ms, PermitTable, TenantId, ZoneId};
-use milletwing_marshal::server::{Extras, Gating};
-use milletwing_marshal::stage::{Note, Watching};
+use milletwing_marshal::ports::{DecisionInput, RolloutObserver};
+use milletwing_marshal::server::{Extensions, ReleaseGate};
 use milletwing_marshal::{Limits, Server};
 use milletwing_releases_server::settings::{FreezeText, Settings};
 use milletwing_releases_server::{Call, Host};
@@ -85,7 +85,7 @@
     heard: Heard,
 }
 
-impl Gating for Ear {
+impl ReleaseGate for Ear {
     fn settings(&self, decisions: &mut milletwing_decision::interface::Settings) {
         decisions.require_permits = true;
     }
@@ -93,13 +93,13 @@
         self: Box<Self>,
         zones: &[String],
         tenants: &[String],
-        notes: crossbeam_channel::Sender<Note>,
-    ) -> std::io::Result<Box<dyn Watching>> {
+        notes: crossbeam_channel::Sender<DecisionInput>,
+    ) -> std::io::Result<Box<dyn RolloutObserver>> {
         let (ear, told) = crossbeam_channel::bounded(1024);
         let (heard, service) = (self.heard.clone(), self.service);
         std::thread::spawn(move || {
             while let Ok(note) = told.recv() {
-                if let Note::Told(Event::PermitTable(table)) = &note {
+                if let DecisionInput::Event(Event::PermitTable(table)) = &note {
                     heard(service, table);
                 }
                 if notes.send(note).is_err() {
@@ -219,16 +219,20 @@
     }
 
     /// Starts its marshal.
-    fn serve(&mut self, service: usize, gate: Box<dyn Gating>) -> Result<(), String> {
+    fn serve(&mut self, service: usize, gate: Box<dyn ReleaseGate>) -> Result<(), String> {
         self.server = Some(serve(&self.config(service)?, gate)?);
         Ok(())
     }
 }
 
-fn serve(text: &str, gate: Box<dyn Gating>) -> Result<Server, String> {
+fn serve(text: &str, gate: Box<dyn ReleaseGate>) -> Result<Server, String> {
     let config = config::read(text)?;
     let limits = Limits::new(config.grant, &config.transport);
-    let server = Server::start_in(config, limits, Extras { gate: Some(gate), ..Extras::default() });
+    let server = Server::start_with_extensions(
+        config,
+        limits,
+        Extensions { gate: Some(gate), ..Extensions::default() },
+    );
     server.map_err(|problem| problem.to_string())
 }
 
