--- a/crates/marshal/src/admit.rs
+++ b/crates/marshal/src/admit.rs
@@ -1,4 +1,5 @@
-//! Admission: from a request's head, its class, tenant, key, deadline and method; and the message for nodes.
+//! Admission of requests: determines a request's class, tenant, key, deadline and allowed method from its head, and
+//! builds the message for nodes.
 
 use crate::accounting::PendingRequest;
 use crate::buffers::BufferPool;
@@ -12,15 +13,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What admission needs.
+/// The configuration and buffers for admitting requests.
 pub struct AdmissionContext {
-    /// The settings.
+    /// The module's settings.
     pub settings: Settings,
-    /// Their names.
+    /// The names of the classes and tenants in the settings.
     pub names: Names,
-    /// The limits.
+    /// The limits on ids and waiting times.
     pub limits: Limits,
-    /// The pool.
+    /// The pool for the messages to nodes.
     pub buffers: BufferPool,
 }
 
@@ -28,7 +29,8 @@
     Err(Malformed(400))
 }
 
-/// Reads one request. `received_at` is when its last byte was there: from then on its time counts, however slowly it came.
+/// Validates one request. The client's waiting time counts from `received_at`, the time at which the last byte of the
+/// request arrived, however slowly it was sent.
 pub fn admit(
     context: &AdmissionContext,
     head: &Head<'_>,
@@ -47,9 +49,9 @@
     let Some(class) = index_of(&context.names.classes, class_name) else { return bad_request() };
     let class = ClassId(class as usize);
     let retry_safety = context.settings.classes[class.0].retry_safety;
-    // The class decides the method; another one would promise nodes what the class doesn't.
+    // The class determines the method; another method would promise nodes semantics that the class does not have.
     let fits = match retry_safety {
-        // One with a body is doubtful: not all machines read a body there.
+        // A GET with a body is ambiguous: not all HTTP implementations read its body.
         RetrySafety::Idempotent => head.method == "GET" && body.iter().all(|part| part.is_empty()),
         RetrySafety::Deduplicated => head.method == "POST" && head.get("Idempotency-Key").is_some(),
         RetrySafety::AtMostOnce => head.method == "POST",
--- a/crates/marshal/src/client.rs
+++ b/crates/marshal/src/client.rs
@@ -1,4 +1,5 @@
-//! A client's connection as the other stages see it: whoever has the answer writes it here. Only reading is `intake`'s.
+//! A client's connection as the later stages see it: whoever has the response writes it here. Only `intake` reads from
+//! it.
 
 use crate::limits::Limits;
 use std::io::{self, IoSlice, Write};
@@ -7,11 +8,11 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Writes all slices, one call where the kernel takes them.
+/// Writes all slices, with a single system call if the kernel accepts them at once.
 pub fn write_all(mut to: impl Write, parts: &[&[u8]]) -> io::Result<()> {
     let mut slices: Vec<IoSlice<'_>> = parts.iter().map(|part| IoSlice::new(part)).collect();
     let mut rest: &mut [IoSlice<'_>] = &mut slices;
-    IoSlice::advance_slices(&mut rest, 0); // empty parts
+    IoSlice::advance_slices(&mut rest, 0); // skips empty parts
     while !rest.is_empty() {
         match to.write_vectored(rest) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
@@ -24,19 +25,19 @@
 }
 
 pub(crate) struct ConnectionState {
-    /// A request on this connection owes its answer.
+    /// A request on this connection needs its response.
     pub(crate) busy: bool,
-    /// Bytes of a further request have come.
+    /// Part of a further request has been received.
     pub(crate) receiving: bool,
-    /// It ends as soon as nothing is on it; its next answer, if there is one, says so.
+    /// The connection closes once it is idle; the next response, if there is one, says so.
     pub(crate) closing: bool,
-    /// Nothing more is answered on it.
+    /// No further response is written.
     pub(crate) closed: bool,
-    /// It was taken above the limit: what comes on it is turned away.
+    /// The connection was accepted above the limit: requests on it are refused.
     pub(crate) over_limit: bool,
-    /// Its request asked for the connection's end.
+    /// The current request asked to close the connection.
     pub(crate) close_requested: bool,
-    /// A whole request that could be admitted has come on it.
+    /// A complete request on this connection has been admitted.
     pub(crate) admitted_before: bool,
     pub(crate) since: Instant,
 }
@@ -51,7 +52,7 @@
 }
 
 impl Client {
-    /// A connection that was accepted.
+    /// An accepted connection.
     pub fn new(stream: TcpStream, stopping: Arc<AtomicBool>) -> Client {
         let since = Instant::now();
         let (busy, receiving, closing, closed, over_limit) = (false, false, false, false, false);
@@ -73,13 +74,14 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the connection outlives the answer that is due now.
+    /// Whether the connection stays open after the current response.
     pub fn keeps_alive(&self) -> bool {
         let state = self.state();
         !self.stopping.load(SeqCst) && !state.close_requested && !state.closing
     }
 
-    /// Writes an answer and is free for the next request, or ends sending.
+    /// Writes a response, or its last part; the connection is then free for the next request, or its sending side is
+    /// shut down.
     pub fn finish_response(&self, parts: &[&[u8]], keep: bool) -> bool {
         let written = write_all(&self.stream, parts);
         let mut state = self.state();
@@ -92,25 +94,26 @@
         };
         if let Some(how) = end {
             state.closed = true;
-            let _ = self.stream.shutdown(how); // it may be gone already
+            let _ = self.stream.shutdown(how); // it may already be closed
         }
         drop(state);
         self.answered.notify_all();
         written.is_ok()
     }
 
-    /// Writes a part of an answer that is not its last.
+    /// Writes a part of a response that is not its last.
     pub fn write_part(&self, bytes: &[u8]) -> bool {
         write_all(&self.stream, &[bytes]).is_ok()
     }
 
-    /// Wakes the thread that reads after the last answer, so that a client which doesn't close its side holds no
+    /// Wakes the reading thread after the last response, so that a client that doesn't close its side holds no
     /// descriptor.
     pub fn shutdown_read(&self) {
-        let _ = self.stream.shutdown(Shutdown::Read); // it may have ended by itself
+        let _ = self.stream.shutdown(Shutdown::Read); // it may already be closed
     }
 
-    /// Waits until the request before is answered, then marks the connection as busy. False where it ends.
+    /// Waits until the previous request is answered, then marks the connection as busy. False if the connection is
+    /// closed.
     pub(crate) fn begin(&self, keep: bool) -> bool {
         let mut state = self.state();
         while state.busy && !state.closed {
@@ -123,12 +126,13 @@
         true
     }
 
-    /// Whether we ended its reading side ourselves: then no more bytes do not mean that the client has left.
+    /// Whether the marshal shut down the reading side itself: end of input then does not mean that the client has
+    /// disconnected.
     pub(crate) fn is_closing(&self) -> bool {
         self.state().closing
     }
 
-    /// Waits until the request on it, if there is one, has its answer.
+    /// Waits until the current request, if there is one, has its response.
     pub(crate) fn wait_until_answered(&self) {
         let mut state = self.state();
         while state.busy && !state.closed {
@@ -136,21 +140,22 @@
         }
     }
 
-    /// Ends the connection if no request is on it; its client asks again elsewhere. Only its reading side is
-    /// shut: what has come by now is still read, and answered. Guards against ending one on a request that its
-    /// thread has just read.
+    /// Closes the connection if it has no request; the client retries elsewhere. Only the reading side is shut down:
+    /// bytes received by then are still read, and the request is answered. Guards against closing the connection on a
+    /// request that its thread has just read.
     pub(crate) fn shutdown_if_idle(&self) -> bool {
         let mut state = self.state();
         let idle = !state.busy && !state.receiving && !state.closed && !state.closing;
         if idle {
             state.closing = true;
-            let _ = self.stream.shutdown(Shutdown::Read); // it may be gone already
+            let _ = self.stream.shutdown(Shutdown::Read); // it may already be closed
         }
         idle
     }
 
-    /// How soon it gives way to others, and since when it has stood so: first who has never sent a whole request and
-    /// says nothing, then who stays with a part of one, then usual clients that stand idle.
+    /// The rank in which the connection is closed to make room, and the time since when: first those that never sent a
+    /// complete request and send nothing, then those with an incomplete first request, then idle connections of regular
+    /// clients.
     pub(crate) fn eviction_rank(&self, first_bytes: Duration) -> Option<(u8, Instant)> {
         let state = self.state();
         let free = !state.busy && !state.closed && !state.closing;
@@ -162,19 +167,19 @@
         }
     }
 
-    /// Ends it for another's sake. Only its reading side is shut, as in `part`, and a request that has just been
-    /// read whole is still answered.
+    /// Closes the connection to make room. Only its reading side is shut down, as in `shutdown_if_idle`, and a request
+    /// that has just been read completely is still answered.
     pub(crate) fn evict(&self) {
         let mut state = self.state();
-        // A usual client whose next request has begun to come since it was chosen stays.
+        // A regular client that has started to send a request since it was chosen is kept.
         let asks = state.busy || (state.admitted_before && state.receiving);
         if !asks && !state.closed {
             state.closing = true;
-            let _ = self.stream.shutdown(Shutdown::Read); // it may be gone already
+            let _ = self.stream.shutdown(Shutdown::Read); // it may already be closed
         }
     }
 
-    /// Time for its first whole request to come; none left where it has had it.
+    /// The time left for the first complete request; `None` once there was one.
     pub(crate) fn first_request_time_left(&self, limits: &Limits) -> Option<Duration> {
         let admitted_before = self.state().admitted_before;
         (!admitted_before).then(|| limits.first_request_timeout.saturating_sub(self.connected.elapsed()))
@@ -193,7 +198,7 @@
         self.stream.set_read_timeout(Some(time.max(Duration::from_millis(1))))
     }
 
-    /// Whether nothing else is being written on the connection.
+    /// Whether an interim response may be written, because no other response is being written.
     pub(crate) fn may_write_interim(&self) -> bool {
         let state = self.state();
         !state.busy && !state.closed
--- a/crates/marshal/src/config.rs
+++ b/crates/marshal/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: a JSON file, and the variables that name it and may stand in for parts of it.
+//! The configuration: a JSON file, and the environment variables that name it and may override parts of it.
 
 use crate::discovery::NodeList;
 use crate::limits::Grant;
@@ -9,35 +9,35 @@
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
 
-/// What a marshal is told at its start.
+/// The configuration of a marshal.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name.
+    /// The marshal's name, for the log.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Where discovery listens.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Where the platform listens.
+    /// The address of the platform.
     pub platform: SocketAddr,
-    /// The platform's state at the start, where it is told.
-    pub news: Option<StageReport>,
-    /// The list as last held.
+    /// The platform's stage at the start, if the configuration has it.
+    pub initial_stage: Option<StageReport>,
+    /// The node list that was known last.
     pub known: NodeList,
-    /// The grant.
+    /// The resources granted to the marshal.
     pub grant: Grant,
-    /// For random numbers.
+    /// The seed for random numbers.
     pub seed: u64,
     /// The module's settings.
     pub settings: Settings,
-    /// Names that they refer to.
+    /// The names that the settings refer to.
     pub names: Names,
-    /// What they say of connections.
+    /// The part of the settings that concerns connections.
     pub transport: TransportSettings,
 }
 
 #[derive(Deserialize)]
-struct Text {
+struct ConfigText {
     #[serde(default)]
     name: String,
     listen: Option<String>,
@@ -52,28 +52,28 @@
 
 #[derive(Deserialize)]
 struct LimitsText {
-    #[serde(default = "memory")]
+    #[serde(default = "default_memory_mb")]
     memory_mb: u64,
-    #[serde(default = "sockets")]
+    #[serde(default = "default_sockets")]
     sockets: usize,
 }
 
-fn memory() -> u64 {
+fn default_memory_mb() -> u64 {
     192
 }
 
-fn sockets() -> usize {
+fn default_sockets() -> usize {
     1024
 }
 
 #[derive(Deserialize)]
 struct PlatformText {
     address: String,
-    news: Option<NewsText>,
+    news: Option<StageText>,
 }
 
 #[derive(Deserialize)]
-struct NewsText {
+struct StageText {
     image: f64,
     ring: f64,
     progress: String,
@@ -82,32 +82,32 @@
     lag_ms: f64,
 }
 
-fn address(field: &str, text: Option<String>) -> Result<SocketAddr, String> {
+fn parse_address(field: &str, text: Option<String>) -> Result<SocketAddr, String> {
     let text = text.ok_or_else(|| format!("{field}: missing"))?;
     text.parse().map_err(|_| format!("{field}: `{}` is no address and port", text.escape_debug()))
 }
 
 impl Config {
-    /// The file that `GW_CONFIG` names.
+    /// The path of the file that `GW_CONFIG` names.
     pub fn path() -> Result<String, String> {
         std::env::var("GW_CONFIG").map_err(|_| "GW_CONFIG: missing".to_string())
     }
 
-    /// Reads a file, and the variables beside it.
+    /// Reads a file and the environment variables.
     pub fn from_file(path: &str) -> Result<Config, String> {
-        Config::read(&contents(path)?, |name| std::env::var(name).ok())
+        Config::read(&read_to_string(path)?, |name| std::env::var(name).ok())
     }
 
-    /// Reads the JSON text; a variable stands before the field of the same name.
+    /// Parses the JSON text; a variable takes precedence over the field of the same name.
     pub fn read(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         Config::parse(text, &variable, |field| variable("GW_DISCOVERY").or(field))
     }
 
-    /// Reads a file again while a marshal runs. Its `discovery` stands before the variable, which still holds the
-    /// address of the start; without the field, the variable counts on.
+    /// Reads the file again while a marshal runs. Its `discovery` field takes precedence over the variable, which still
+    /// holds the address from the start; without the field, the variable stays in effect.
     pub fn again(path: &str) -> Result<Config, String> {
         let variable = |name: &str| std::env::var(name).ok();
-        Config::parse(&contents(path)?, &variable, |field| field.or_else(|| variable("GW_DISCOVERY")))
+        Config::parse(&read_to_string(path)?, &variable, |field| field.or_else(|| variable("GW_DISCOVERY")))
     }
 
     fn parse(
@@ -115,10 +115,11 @@
         variable: &dyn Fn(&str) -> Option<String>,
         discovery: impl FnOnce(Option<String>) -> Option<String>,
     ) -> Result<Config, String> {
-        let text: Text = serde_json::from_str(text).map_err(|problem| one_line(&problem.to_string()))?;
+        let text: ConfigText =
+            serde_json::from_str(text).map_err(|problem| one_line(&problem.to_string()))?;
         let (settings, names, transport) = milletwing_profile::parse_settings(text.settings.get())
             .map_err(|problem| format!("settings: {}", one_line(&problem)))?;
-        let news = match &text.platform.news {
+        let initial_stage = match &text.platform.news {
             None => None,
             Some(news) => {
                 let phase = wire::phase(&news.progress)
@@ -134,10 +135,10 @@
         }
         Ok(Config {
             name: variable("GW_NAME").unwrap_or(text.name),
-            listen: address("listen", variable("GW_LISTEN").or(text.listen))?,
-            discovery: address("discovery", discovery(text.discovery))?,
-            platform: address("platform.address", Some(text.platform.address))?,
-            news,
+            listen: parse_address("listen", variable("GW_LISTEN").or(text.listen))?,
+            discovery: parse_address("discovery", discovery(text.discovery))?,
+            platform: parse_address("platform.address", Some(text.platform.address))?,
+            initial_stage,
             known: text.known,
             grant: Grant { memory_mb, sockets },
             seed,
@@ -148,7 +149,7 @@
     }
 }
 
-fn contents(path: &str) -> Result<String, String> {
+fn read_to_string(path: &str) -> Result<String, String> {
     std::fs::read_to_string(path).map_err(|problem| format!("configuration {path}: {problem}"))
 }
 
@@ -157,7 +158,7 @@
 }
 
 impl Config {
-    /// What a marshal would do with it, for people.
+    /// A summary of what a marshal would do with this configuration, for people.
     pub fn summary(&self) -> String {
         let limits = crate::Limits::new(self.grant, &self.transport);
         format!(
--- a/crates/marshal/src/discovery.rs
+++ b/crates/marshal/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: the list of nodes, by a watch that is always on where changes are pushed, and begun by the
-//! module's call where it must be asked.
+//! Discovery: the node list. Where discovery pushes changes, a watch is always active; where it must be asked, a watch
+//! begins with the module's request.
 
 use crate::buffers::{Buffer, BufferPool};
 use crate::client::write_all;
@@ -19,20 +19,20 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A list as discovery words it; fields not known here are skipped.
+/// A node list as sent by discovery; unknown fields are ignored.
 #[derive(Debug, Default, Deserialize)]
 pub struct NodeList {
-    /// Its version.
+    /// The version of the list.
     pub version: u64,
-    /// Whether it is whole.
+    /// Whether the list is complete rather than a list of changes.
     #[serde(default)]
     pub full: bool,
-    /// Its entries.
+    /// The listed nodes.
     #[serde(default)]
     pub servers: Vec<ListedNode>,
 }
 
-/// An entry as discovery words it.
+/// A node as sent by discovery.
 #[derive(Debug, Deserialize)]
 pub struct ListedNode {
     id: String,
@@ -44,7 +44,7 @@
     #[serde(default)]
     cell: u32,
     state: String,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     weight: f64,
     #[serde(default)]
     started_ms: f64,
@@ -52,7 +52,7 @@
     version_no: u32,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
@@ -63,23 +63,24 @@
     })
 }
 
-/// Turns a page into entries. One that can't be read is left out and logged; whether that happened is told too.
+/// Converts a list into entries. Entries that cannot be parsed are left out and logged; the second value is false if
+/// there were any.
 pub fn entries(list: &NodeList, names: &mut Names) -> (Vec<(NodeEntry, SocketAddr)>, bool) {
-    let mut out = Vec::with_capacity(list.servers.len());
-    let mut whole = true;
+    let mut result = Vec::with_capacity(list.servers.len());
+    let mut all_readable = true;
     for server in &list.servers {
         let Some(state) = wire::node_state(&server.state) else {
-            log::warn!("discovery: {} has an unknown state", server.id.escape_debug());
-            whole = false;
+            log::warn!("discovery: node {} has an unknown state", server.id.escape_debug());
+            all_readable = false;
             continue;
         };
         let addr = match server.addr.parse::<SocketAddr>() {
             Ok(addr) => addr,
-            // Nothing is sent to a node that has left.
+            // Nothing is sent to a node that has terminated, so that it needs no address.
             Err(_) if state == NodeState::Terminated => SocketAddr::from(([0, 0, 0, 0], 0)),
             Err(_) => {
-                log::warn!("discovery: {} has an unreadable address", server.id.escape_debug());
-                whole = false;
+                log::warn!("discovery: node {} has an invalid address", server.id.escape_debug());
+                all_readable = false;
                 continue;
             }
         };
@@ -93,19 +94,19 @@
             build: Build(server.version_no),
             started: (server.started_ms > 0.0).then_some(Ms(server.started_ms)),
         };
-        out.push((entry, addr));
+        result.push((entry, addr));
     }
-    (out, whole)
+    (result, all_readable)
 }
 
 /// A connection to discovery.
 struct Connection {
     stream: Arc<TcpStream>,
-    host: SocketAddr,
+    address: SocketAddr,
     generation: u64,
 }
 
-/// Calls discovery, on a connection that is kept.
+/// Calls discovery, on a connection that is kept open.
 pub struct DiscoveryClient {
     endpoint: Arc<Endpoint>,
     limits: Limits,
@@ -114,7 +115,8 @@
 }
 
 impl DiscoveryClient {
-    /// Not connected yet. A list may be longer than any other message: its one buffer is of its own size.
+    /// Creates a client that is not connected yet. A list may be longer than any other message, so that its buffer has
+    /// a size of its own.
     pub fn new(endpoint: &Arc<Endpoint>, limits: &Limits) -> DiscoveryClient {
         let limits = Limits {
             max_body_bytes: limits.max_list_bytes,
@@ -125,35 +127,35 @@
         DiscoveryClient { endpoint: endpoint.clone(), limits, buffers, connection: None }
     }
 
-    /// One call. After a failure, or where discovery has moved, the next one connects anew.
+    /// Makes one call. After a failure, or if discovery's address has changed, the next call makes a new connection.
     pub fn call(&mut self, query: &str, timeout: Duration) -> io::Result<NodeList> {
-        let (at, generation) = self.endpoint.current();
+        let (address, generation) = self.endpoint.current();
         let connection = match self.connection.take().filter(|connection| connection.generation == generation)
         {
             Some(connection) => connection,
             None => {
-                let stream = TcpStream::connect_timeout(&at, self.limits.connect_timeout)?;
+                let stream = TcpStream::connect_timeout(&address, self.limits.connect_timeout)?;
                 stream.set_nodelay(true)?;
                 stream.set_write_timeout(Some(self.limits.node_write_timeout))?;
-                Connection { stream: Arc::new(stream), host: at, generation }
+                Connection { stream: Arc::new(stream), address, generation }
             }
         };
         if !self.endpoint.register(generation, &connection.stream) {
-            return Err(io::Error::new(io::ErrorKind::NotConnected, "it has moved"));
+            return Err(io::Error::new(io::ErrorKind::NotConnected, "discovery's address has changed"));
         }
         let text =
-            format!("GET {}{query} HTTP/1.1\r\nHost: {}\r\n\r\n", wire::NODE_LIST_PATH, connection.host);
+            format!("GET {}{query} HTTP/1.1\r\nHost: {}\r\n\r\n", wire::NODE_LIST_PATH, connection.address);
         write_all(&*connection.stream, &[text.as_bytes()])?;
-        let until = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         let mut buffer = self.buffers.take();
-        let (list, keep) = read(&connection.stream, &mut buffer, until, &self.limits)?;
+        let (list, keep) = read_response(&connection.stream, &mut buffer, deadline, &self.limits)?;
         if keep {
             self.connection = Some(connection);
         }
         Ok(list)
     }
 
-    /// The connection is of no further use.
+    /// Drops the connection.
     pub fn disconnect(&mut self) {
         self.connection = None;
     }
@@ -163,96 +165,103 @@
     io::Error::new(io::ErrorKind::InvalidData, what)
 }
 
-fn read(
+fn read_response(
     stream: &TcpStream,
     buffer: &mut Buffer,
-    mut until: Instant,
+    mut deadline: Instant,
     limits: &Limits,
 ) -> io::Result<(NodeList, bool)> {
     let mut chunks = ChunkedBody::default();
     let mut closed = false;
     loop {
         let bytes = buffer.bytes();
-        let head = http::answer(bytes, limits).map_err(|_| invalid_data("no answer in HTTP"))?;
+        let head =
+            http::parse_response(bytes, limits).map_err(|_| invalid_data("the response is not HTTP"))?;
         if let Some(head) = head {
             let after = &bytes[head.length..];
-            let (body, rest) = match head.framing {
+            let (body, has_trailing_bytes) = match head.framing {
                 Framing::Length(size) => (after.get(..size).map(<[u8]>::to_vec), after.len() > size),
                 Framing::UntilClose => (closed.then(|| after.to_vec()), false),
                 Framing::Chunked => {
-                    let whole = chunks.read(after, limits).map_err(|_| invalid_data("bad chunks"))?;
+                    let whole = chunks
+                        .read(after, limits)
+                        .map_err(|_| invalid_data("the chunked body is malformed"))?;
                     let joined = || chunks.parts.iter().flat_map(|part| after[part.clone()].iter().copied());
                     (whole.map(|_| joined().collect()), whole.is_some_and(|whole| after.len() > whole))
                 }
             };
             if let Some(body) = body {
                 if head.status != 200 {
-                    return Err(invalid_data("not answered by 200"));
+                    return Err(invalid_data("the response status is not 200"));
                 }
                 let list =
                     serde_json::from_slice(&body).map_err(|problem| invalid_data(&problem.to_string()))?;
-                return Ok((list, head.keep && !rest));
+                return Ok((list, head.keep && !has_trailing_bytes));
             }
         }
         if closed {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        let left = until.saturating_duration_since(Instant::now());
+        let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return Err(io::ErrorKind::TimedOut.into());
         }
         stream.set_read_timeout(Some(left))?;
-        let before = bytes.len();
-        let room = buffer.spare_capacity();
-        if room.is_empty() {
-            return Err(invalid_data("longer than a list may be"));
+        let received_before = bytes.len();
+        let spare = buffer.spare_capacity();
+        if spare.is_empty() {
+            return Err(invalid_data("the list exceeds the size limit"));
         }
-        match (&mut &*stream).read(room) {
+        match (&mut &*stream).read(spare) {
             Ok(0) => closed = true,
             Ok(read) => buffer.advance(read),
             Err(problem) if problem.kind() == io::ErrorKind::Interrupted => {}
             Err(problem) => {
                 let received = &buffer.bytes()[..buffer.bytes().len().min(200)];
-                log::debug!("discovery: until then {}", received.escape_ascii());
+                log::debug!("discovery: received before the failure: {}", received.escape_ascii());
                 return Err(problem);
             }
         }
-        if before == 0 && !buffer.bytes().is_empty() {
-            // Guards against an answer of which only a part comes: what has begun comes at once.
-            until = until.min(Instant::now() + limits.partial_response_timeout);
+        if received_before == 0 && !buffer.bytes().is_empty() {
+            // Guards against a response that stops halfway: once begun, the rest must follow promptly.
+            deadline = deadline.min(Instant::now() + limits.partial_response_timeout);
         }
     }
 }
 
-/// The watch: each answer is passed on, and the next call made at once.
+/// The watch: passes each response on and makes the next call at once.
 pub struct DiscoveryWatch {
-    /// Calls discovery.
+    /// The client for the calls.
     pub client: DiscoveryClient,
-    /// Names met so far.
+    /// The names of zones and machine kinds seen so far.
     pub names: Names,
-    /// The version held.
+    /// The version of the list that is held.
     pub version: u64,
-    /// Whether the module must ask.
+    /// Whether discovery is only asked at the module's request.
     pub on_request: bool,
 }
 
 impl DiscoveryWatch {
-    /// Works until the decision thread has ended.
+    /// Runs until the decision thread has ended.
     pub fn run(mut self, requests: &Receiver<DiscoveryRequest>, inputs: &Sender<DecisionInput>) {
         let limits = self.client.limits.clone();
         let mut watching = !self.on_request;
         let mut retry_delay = limits.first_retry_delay;
         let mut generation = self.client.endpoint.current().1;
-        // The whole list is wanted, whatever version we hold: discovery has moved, or an entry was unreadable.
+        // Whether to fetch the complete list regardless of the version held, because discovery's address has changed or
+        // an entry was unreadable.
         let (mut refetch, mut unreadable_before) = (false, false);
         loop {
             if self.client.endpoint.is_closed() {
                 return;
             }
-            let before = std::mem::replace(&mut generation, self.client.endpoint.current().1);
-            (refetch, retry_delay) =
-                if before == generation { (refetch, retry_delay) } else { (true, limits.first_retry_delay) };
-            // What the module asks for; a call that fails, or a watch that breaks, is told as unavailable.
+            let previous = std::mem::replace(&mut generation, self.client.endpoint.current().1);
+            (refetch, retry_delay) = if previous == generation {
+                (refetch, retry_delay)
+            } else {
+                (true, limits.first_retry_delay)
+            };
+            // The module's request, if any; a failed call for it, or a broken watch, is reported as unavailable.
             let request = if watching || refetch {
                 match requests.try_recv() {
                     Ok(request) => Some(request),
@@ -268,29 +277,29 @@
             let query = if refetch || request == Some(DiscoveryRequest::Fetch) {
                 String::new()
             } else {
-                // The answer to the call that begins a watch is due at once, even if nothing has changed.
+                // The call that begins a watch must return at once, even if nothing has changed.
                 let wait = if request.is_some() { Duration::ZERO } else { limits.watch_wait };
-                let [index, word] = wire::WATCH_PARAMETERS;
-                format!("?{index}={}&{word}={}", self.version, wait.as_millis())
+                let [version, wait_time] = wire::WATCH_PARAMETERS;
+                format!("?{version}={}&{wait_time}={}", self.version, wait.as_millis())
             };
             let mut response =
                 self.client.call(&query, limits.watch_wait + limits.watch_margin).map(|list| {
-                    let (entries, whole) = entries(&list, &mut self.names);
-                    (list, entries, whole)
+                    let (entries, all_readable) = entries(&list, &mut self.names);
+                    (list, entries, all_readable)
                 });
-            // An answer is true if it can be read whole. Guards against losing the change that an unreadable entry
-            // held: the whole list is asked for once more. If it says the same again, the rest of it counts.
+            // A response counts only if all of it can be parsed. Guards against losing the change in an unreadable
+            // entry: the complete list is fetched once more. If it is unreadable again, its readable part counts.
             if let Ok((_, _, false)) = response {
                 self.client.disconnect();
                 if !unreadable_before {
-                    response = Err(invalid_data("an entry that can't be read"));
+                    response = Err(invalid_data("the list has an entry that cannot be parsed"));
                 }
                 (refetch, unreadable_before) = (!unreadable_before, !unreadable_before);
             }
             match response {
-                Ok((list, entries, whole)) => {
+                Ok((list, entries, all_readable)) => {
                     retry_delay = limits.first_retry_delay;
-                    (refetch, unreadable_before) = (false, unreadable_before && !whole);
+                    (refetch, unreadable_before) = (false, unreadable_before && !all_readable);
                     watching |= request == Some(DiscoveryRequest::Subscribe);
                     let kind = if list.full { FleetUpdateKind::Replace } else { FleetUpdateKind::Update };
                     self.version = list.version;
@@ -302,7 +311,8 @@
                 Err(problem) => {
                     log::warn!("discovery: {problem}");
                     let moved = self.client.endpoint.current().1 != generation;
-                    // A move is no failure: the list is asked for anew at the new address, and the watch goes on.
+                    // A change of address is not a failure: the list is fetched again from the new address, and the
+                    // watch continues.
                     if request.is_some() || (self.on_request && !moved && !refetch) {
                         watching = !self.on_request;
                         if inputs
@@ -313,7 +323,7 @@
                         }
                     }
                     if watching || refetch {
-                        // The list stays; the next call comes at once, then with growing pauses.
+                        // The list stays in effect; the next call follows after a short delay, which then grows.
                         self.client.endpoint.pause(generation, retry_delay);
                         retry_delay = (retry_delay * 2).min(limits.max_retry_delay);
                     }
--- a/crates/marshal/src/http.rs
+++ b/crates/marshal/src/http.rs
@@ -1,54 +1,54 @@
-//! HTTP/1.1 as far as a marshal needs it: heads by httparse, and the framing of bodies.
+//! The part of HTTP/1.1 that a marshal needs: heads are parsed by httparse, and bodies are framed here.
 
 use crate::limits::Limits;
 use std::ops::Range;
 
-/// Headers of a message that are read.
+/// The most headers of a message.
 const HEADERS: usize = 64;
 
-/// What is wrong with a message, as the status that answers it.
+/// A malformed message, with the status of the response to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed(pub u16);
 
-/// How a body is set off.
+/// How a body is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// So many bytes.
+    /// By its length in bytes.
     Length(usize),
-    /// In chunks.
+    /// By chunks.
     Chunked,
-    /// To the connection's end; answers only.
+    /// By the end of the connection; in responses only.
     UntilClose,
 }
 
 /// The head of a message.
 #[derive(Debug)]
 pub struct Head<'a> {
-    /// Of a request: its method.
+    /// The method of a request.
     pub method: &'a str,
-    /// Of a request: path and query.
+    /// The path and query of a request.
     pub target: &'a str,
-    /// Of an answer: its status.
+    /// The status of a response.
     pub status: u16,
     /// The headers, in order.
     pub headers: Vec<(&'a str, &'a [u8])>,
-    /// Whether the connection stays open afterwards.
+    /// Whether the connection stays open after this message.
     pub keep: bool,
     /// How the body is set off.
     pub framing: Framing,
-    /// Bytes of the head.
+    /// Length of the head in bytes.
     pub length: usize,
 }
 
 impl<'a> Head<'a> {
-    /// A header's value, if it is there and readable.
+    /// The value of a header, if it is present and valid UTF-8.
     pub fn get(&self, name: &str) -> Option<&'a str> {
         let found = self.headers.iter().find(|(header, _)| header.eq_ignore_ascii_case(name))?;
         std::str::from_utf8(found.1).ok().map(str::trim)
     }
-    /// Headers that go on to the next machine.
+    /// The headers that are forwarded to the next hop.
     pub fn passed_on(&self) -> impl Iterator<Item = &(&'a str, &'a [u8])> {
-        const OWN: [&str; 11] = [
+        const HOP_BY_HOP: [&str; 11] = [
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -63,28 +63,28 @@
         ];
         let named = self.get("Connection").unwrap_or("");
         self.headers.iter().filter(move |(name, _)| {
-            let listed = named.split(',').any(|word| word.trim().eq_ignore_ascii_case(name));
-            !listed && !OWN.iter().any(|own| own.eq_ignore_ascii_case(name))
+            let named_in_connection = named.split(',').any(|word| word.trim().eq_ignore_ascii_case(name));
+            !named_in_connection && !HOP_BY_HOP.iter().any(|header| header.eq_ignore_ascii_case(name))
         })
     }
 }
 
-/// Where the head ends, looking from a place on; lets slow senders cost no parsing anew.
+/// Finds the end of the head, searching from an offset so that slowly arriving bytes are not searched again.
 pub fn head_end(bytes: &[u8], from: usize) -> Option<usize> {
     let from = from.saturating_sub(3);
     let ends = |at: &usize| bytes[*at..].starts_with(b"\n\r\n") || bytes[*at..].starts_with(b"\n\n");
     (from..bytes.len()).find(|at| bytes[*at] == b'\n' && ends(at))
 }
 
-fn listed(headers: &[(&str, &[u8])], name: &str, word: &str) -> bool {
+fn header_contains(headers: &[(&str, &[u8])], name: &str, word: &str) -> bool {
     headers.iter().filter(|(header, _)| header.eq_ignore_ascii_case(name)).any(|(_, value)| {
         std::str::from_utf8(value)
             .is_ok_and(|text| text.split(',').any(|part| part.trim().eq_ignore_ascii_case(word)))
     })
 }
 
-/// Reads the framing headers: doubled or contradictory ones are malformed, so that two machines can never
-/// read the same bytes differently.
+/// Determines the framing from the headers. Duplicate or contradictory headers are malformed, so that two HTTP
+/// implementations can never interpret the same bytes differently (request smuggling).
 fn framing(headers: &[(&str, &[u8])], limits: &Limits, request: bool) -> Result<Framing, Malformed> {
     let all = |name: &str| headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name)).collect::<Vec<_>>();
     let (lengths, codings) = (all("Content-Length"), all("Transfer-Encoding"));
@@ -111,75 +111,76 @@
     }
 }
 
-/// The length of a head, once it is whole; one that is too long, or has too many headers, is malformed.
+/// The length of a complete head; a head that is too long or has too many headers is malformed.
 fn head_length(
     parsed: httparse::Result<usize>,
-    seen: usize,
+    received: usize,
     limits: &Limits,
 ) -> Result<Option<usize>, Malformed> {
     match parsed {
         Ok(httparse::Status::Complete(length)) if length <= limits.max_head_bytes => Ok(Some(length)),
-        Ok(httparse::Status::Partial) if seen < limits.max_head_bytes => Ok(None),
+        Ok(httparse::Status::Partial) if received < limits.max_head_bytes => Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(Malformed(431)),
         Err(_) => Err(Malformed(400)),
     }
 }
 
-/// Reads a request's head; `None` while it is not whole.
-pub fn request<'a>(bytes: &'a [u8], limits: &Limits) -> Result<Option<Head<'a>>, Malformed> {
-    let mut room = [httparse::EMPTY_HEADER; HEADERS];
-    let mut parsed = httparse::Request::new(&mut room);
+/// Parses the head of a request; `None` while it is incomplete.
+pub fn parse_request<'a>(bytes: &'a [u8], limits: &Limits) -> Result<Option<Head<'a>>, Malformed> {
+    let mut header_storage = [httparse::EMPTY_HEADER; HEADERS];
+    let mut parsed = httparse::Request::new(&mut header_storage);
     let Some(length) = head_length(parsed.parse(bytes), bytes.len(), limits)? else { return Ok(None) };
-    // Guards against lines that another machine may end elsewhere: one strict reading, or none.
+    // Rejects bare line feeds: another implementation may end a line elsewhere, so there is one strict interpretation
+    // or none.
     let lines = bytes[..length].iter().zip(bytes[..length].iter().skip(1));
     if bytes[0] == b'\n' || lines.clone().any(|(before, byte)| *byte == b'\n' && *before != b'\r') {
         return Err(Malformed(400));
     }
     let headers: Vec<_> = parsed.headers.iter().map(|header| (header.name, header.value)).collect();
     let framing = framing(&headers, limits, true)?;
-    let newer = parsed.version == Some(1);
-    let close = listed(&headers, "Connection", "close");
-    let keep = !close && (newer || listed(&headers, "Connection", "keep-alive"));
+    let is_http_1_1 = parsed.version == Some(1);
+    let close = header_contains(&headers, "Connection", "close");
+    let keep = !close && (is_http_1_1 || header_contains(&headers, "Connection", "keep-alive"));
     let (method, target) = (parsed.method.unwrap_or(""), parsed.path.unwrap_or(""));
     Ok(Some(Head { method, target, status: 0, headers, keep, framing, length }))
 }
 
-/// Reads an answer's head; `None` while it is not whole.
-pub fn answer<'a>(bytes: &'a [u8], limits: &Limits) -> Result<Option<Head<'a>>, Malformed> {
-    let mut room = [httparse::EMPTY_HEADER; HEADERS];
-    let mut parsed = httparse::Response::new(&mut room);
+/// Parses the head of a response; `None` while it is incomplete.
+pub fn parse_response<'a>(bytes: &'a [u8], limits: &Limits) -> Result<Option<Head<'a>>, Malformed> {
+    let mut header_storage = [httparse::EMPTY_HEADER; HEADERS];
+    let mut parsed = httparse::Response::new(&mut header_storage);
     let Some(length) = head_length(parsed.parse(bytes), bytes.len(), limits)? else { return Ok(None) };
     let headers: Vec<_> = parsed.headers.iter().map(|header| (header.name, header.value)).collect();
     let status = parsed.code.unwrap_or(0);
     let bodiless = status < 200 || status == 204 || status == 304;
     let framing = if bodiless { Framing::Length(0) } else { framing(&headers, limits, false)? };
-    let newer = parsed.version == Some(1);
-    let close = listed(&headers, "Connection", "close") || framing == Framing::UntilClose;
-    let keep = !close && (newer || listed(&headers, "Connection", "keep-alive"));
+    let is_http_1_1 = parsed.version == Some(1);
+    let close = header_contains(&headers, "Connection", "close") || framing == Framing::UntilClose;
+    let keep = !close && (is_http_1_1 || header_contains(&headers, "Connection", "keep-alive"));
     Ok(Some(Head { method: "", target: "", status, headers, keep, framing, length }))
 }
 
-/// A chunked body as it comes in: where its parts stand. Goes on from where it was, so that bytes that come
-/// one by one cost no more than together.
+/// A chunked body that is being received. Parsing continues where it stopped, so that single bytes cost no more than
+/// large reads.
 #[derive(Debug, Default)]
 pub struct ChunkedBody {
     at: usize,
     trailer: bool,
-    /// The parts of the body, by their places in the bytes.
+    /// The chunks of the body, as ranges of the bytes after the head.
     pub parts: Vec<Range<usize>>,
-    /// Bytes of the body.
+    /// Size of the body in bytes.
     pub size: usize,
 }
 
 impl ChunkedBody {
-    /// Reads on in the bytes after the head; gives the length of the whole body as framed, once it is there.
+    /// Continues in the bytes after the head; returns the length of the whole framed body once it is complete.
     pub fn read(&mut self, bytes: &[u8], limits: &Limits) -> Result<Option<usize>, Malformed> {
         loop {
             let rest = &bytes[self.at.min(bytes.len())..];
             let Some(end) = rest.iter().position(|&b| b == b'\n') else {
                 return if rest.len() > 256 { Err(Malformed(400)) } else { Ok(None) };
             };
-            // Guards, as in heads, against lines that another machine may end elsewhere.
+            // Rejects bare line feeds, as in heads.
             let Some(line) = rest[..end].strip_suffix(b"\r") else { return Err(Malformed(400)) };
             let line = line.trim_ascii();
             if self.trailer {
@@ -203,7 +204,7 @@
                 continue;
             }
             let start = self.at + end + 1;
-            // The chunk, and the line end behind it, must be there whole.
+            // The chunk and the line end after it must be complete.
             let Some(after) = bytes.get(start + size..) else { return Ok(None) };
             match after {
                 [b'\r', b'\n', ..] => {}
@@ -217,7 +218,7 @@
     }
 }
 
-/// The words of a status that a marshal words itself.
+/// The reason phrase of a status that the marshal generates itself.
 pub fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/marshal/src/intake.rs
+++ b/crates/marshal/src/intake.rs
@@ -1,5 +1,5 @@
-//! Intake: connections of clients, and the requests on them, one at a time. A connection's thread only reads;
-//! so it also sees its client leave while the request is out. Whoever has the answer writes it.
+//! Intake: client connections, and the requests on them, one at a time. A connection's thread only reads, so that it
+//! notices when the client disconnects during a request. Whoever has the response writes it.
 
 use crate::accounting::{increment, Counters, PendingRequest};
 use crate::admit::{admit, AdmissionContext};
@@ -21,75 +21,76 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Bytes read at once.
+/// Size of one read.
 const CHUNK: usize = 4096;
 
-/// All connections of clients.
+/// All client connections.
 #[derive(Default)]
 pub struct ClientConnections {
-    open: Mutex<HashMap<u64, Arc<Client>>>,
+    connections: Mutex<HashMap<u64, Arc<Client>>>,
     next: AtomicU64,
 }
 
 impl ClientConnections {
     fn connections(&self) -> MutexGuard<'_, HashMap<u64, Arc<Client>>> {
-        self.open.lock().unwrap_or_else(PoisonError::into_inner)
+        self.connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
-    /// How many.
+    /// The number of connections.
     pub fn len(&self) -> usize {
         self.connections().len()
     }
-    /// Whether there are none.
+    /// Whether there are no connections.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
-    /// How many have not been ended by us.
+    /// The number of connections that the marshal is not closing.
     fn kept(&self) -> usize {
         self.connections().values().filter(|client| client.is_kept()).count()
     }
-    /// How many have a request that owes its answer, or one that is coming in.
+    /// The number of connections with a request that needs its response or is being received.
     pub fn busy(&self) -> usize {
-        let owes = |client: &&Arc<Client>| {
+        let is_busy = |client: &&Arc<Client>| {
             let state = client.state();
             state.busy || (state.receiving && !state.closed)
         };
-        self.connections().values().filter(owes).count()
+        self.connections().values().filter(is_busy).count()
     }
-    /// Ends one for another's sake: those that never sent a whole request before usual clients, and among them the
-    /// one that has stood so for longest.
-    pub fn make_room(&self, first_bytes: Duration, stood: Duration) -> bool {
+    /// Closes one connection to make room: those that never sent a complete request before regular clients, and among
+    /// equals the one that has waited longest. Returns whether one was closed.
+    pub fn make_room(&self, partial_request_grace: Duration, min_idle: Duration) -> bool {
         let all = self.connections();
-        let idle = all.values().filter_map(|client| Some((client.eviction_rank(first_bytes)?, client)));
-        let idle = idle.filter(|((_, since), _)| since.elapsed() >= stood);
-        let first = idle.min_by_key(|(order, _)| *order);
+        let idle =
+            all.values().filter_map(|client| Some((client.eviction_rank(partial_request_grace)?, client)));
+        let idle = idle.filter(|((_, since), _)| since.elapsed() >= min_idle);
+        let first = idle.min_by_key(|(rank, _)| *rank);
         first.is_some_and(|(_, client)| {
             client.evict();
             true
         })
     }
-    /// In a crowd, ends those that have stood idle for some time, as many as are too many: the order is that of
-    /// `make_room`. Guards against connections that asked once and stay. Clients hold only so many, so that where all
-    /// of them stay no new one comes, at which room could be made. Gives how many were ended.
+    /// Above the eviction threshold, closes connections that have been idle for some time, as many as exceed the
+    /// threshold, in the order of `make_room`. Guards against clients that send one request and keep the connection:
+    /// each client holds a limited number of connections, so where all are kept no new connection arrives that would
+    /// trigger `make_room`. Returns the number of connections closed.
     pub fn evict_idle(&self, limits: &Limits) -> usize {
         let all = self.connections();
-        let many = (all.len() + 1).saturating_sub(limits.idle_eviction_threshold);
-        if many == 0 {
+        let excess = (all.len() + 1).saturating_sub(limits.idle_eviction_threshold);
+        if excess == 0 {
             return 0;
         }
         let idle = all
             .values()
             .filter_map(|client| Some((client.eviction_rank(limits.partial_request_grace)?, client)));
-        let stood = |(order, since): &(u8, Instant)| {
-            // Who has just connected is about to ask.
-            since.elapsed()
-                >= if *order < 2 { limits.partial_request_grace } else { limits.idle_eviction_age }
+        let idle_long_enough = |(rank, since): &(u8, Instant)| {
+            // A new connection is about to send its request.
+            since.elapsed() >= if *rank < 2 { limits.partial_request_grace } else { limits.idle_eviction_age }
         };
-        let mut idle: Vec<_> = idle.filter(|(order, _)| stood(order)).collect();
-        idle.sort_by_key(|(order, _)| *order);
-        idle.iter().take(many).for_each(|(_, client)| client.evict());
-        many.min(idle.len())
+        let mut idle: Vec<_> = idle.filter(|(rank, _)| idle_long_enough(rank)).collect();
+        idle.sort_by_key(|(rank, _)| *rank);
+        idle.iter().take(excess).for_each(|(_, client)| client.evict());
+        excess.min(idle.len())
     }
-    /// Ends sending on all that stand idle.
+    /// Closes all idle connections.
     pub fn shutdown_idle(&self) {
         for client in self.connections().values() {
             client.shutdown_if_idle();
@@ -97,29 +98,29 @@
     }
 }
 
-/// What the threads of intake share.
+/// The state shared by the intake threads.
 pub struct Intake {
-    /// What admission needs.
+    /// The configuration and buffers for admitting requests.
     pub admission: AdmissionContext,
-    /// The connections.
+    /// The client connections.
     pub clients: ClientConnections,
-    /// The way to the decision thread.
+    /// The input queue of the decision thread.
     pub inputs: Sender<DecisionInput>,
     /// The counters.
     pub counters: Arc<Counters>,
-    /// Whether we serve, for the front.
+    /// Whether the marshal serves requests, for the readiness check.
     pub ready: AtomicBool,
-    /// Set by the sign to stop.
+    /// Set when the marshal is asked to stop.
     pub stopping: Arc<AtomicBool>,
-    /// Set when no new connection is wanted.
+    /// Set when no new connection is to be accepted.
     pub accepting_closed: AtomicBool,
-    /// Whether a thread keeps a crowd thin.
+    /// Whether a thread is closing idle connections.
     pub evicting: AtomicBool,
 }
 
-/// Accepts until told otherwise: a connection that waits to be accepted may hold a request whose time runs.
-/// Above the limit, and where no descriptor is left, idle connections give way. Where none is idle, what comes
-/// on the new one is turned away at once.
+/// Accepts connections until told to stop: a connection that waits to be accepted may hold a request whose time is
+/// running. Above the limit, and when no file descriptor is left, idle connections are closed to make room. If none is
+/// idle, requests on the new connection are refused at once.
 pub fn accept(intake: &Arc<Intake>, listener: &TcpListener, workers: &WorkerPool<(u64, Arc<Client>)>) {
     let limits = &intake.admission.limits;
     loop {
@@ -133,8 +134,8 @@
                 start_idle_eviction(intake);
             }
             Err(problem) => {
-                // Out of descriptors, or a connection that broke while it waited: neither ends the marshal.
-                log::warn!("accepting: {problem}");
+                // Out of file descriptors, or a connection that broke while it waited: neither ends the marshal.
+                log::warn!("cannot accept a connection: {problem}");
                 intake.clients.make_room(limits.partial_request_grace, Duration::ZERO);
                 std::thread::sleep(limits.accept_pause);
             }
@@ -147,8 +148,8 @@
     }
 }
 
-/// Keeps a crowd of idle connections thin, by a thread that goes with the crowd. Guards against a look every few
-/// milliseconds by each of hundreds of marshals that have none.
+/// Closes idle connections above the eviction threshold, in a thread that ends when the number is below it. Guards
+/// against periodic checks every few milliseconds in hundreds of marshals that have few connections.
 fn start_idle_eviction(intake: &Arc<Intake>) {
     let crowded = |intake: &Intake| {
         intake.clients.len() >= intake.admission.limits.idle_eviction_threshold
@@ -165,7 +166,7 @@
             shared.counters.gave_way.fetch_add(ended as u64, Relaxed);
         }
         shared.evicting.store(false, SeqCst);
-        // One more look: who came in between found this thread still there.
+        // Checked once more: a connection accepted in between found this thread still registered.
         if !crowded(&shared) || shared.evicting.swap(true, SeqCst) {
             return;
         }
@@ -174,69 +175,70 @@
         .name("thin".into())
         .stack_size(intake.admission.limits.thread_stack_bytes);
     if let Err(problem) = thread.spawn(work) {
-        log::warn!("no thread to thin a crowd: {problem}");
+        log::warn!("cannot start the thread that closes idle connections: {problem}");
         intake.evicting.store(false, SeqCst); // the next connection tries again
     }
 }
 
 fn accept_client(intake: &Arc<Intake>, stream: TcpStream, workers: &WorkerPool<(u64, Arc<Client>)>) {
     let limits = &intake.admission.limits;
-    let set =
+    let configured =
         stream.set_nodelay(true).and_then(|()| stream.set_write_timeout(Some(limits.client_write_timeout)));
-    if set.is_err() {
-        return; // it is gone already
+    if configured.is_err() {
+        return; // it is already closed
     }
     increment(&intake.counters.accepted);
     let number = intake.clients.next.fetch_add(1, Relaxed);
     let client = Arc::new(Client::new(stream, intake.stopping.clone()));
-    // Below the limit nobody is counted one by one: that would cost each accept a look at all connections.
+    // Below the limit the connections are not counted one by one: each accept would have to visit all of them.
     let room = intake.clients.len() < limits.max_clients
         || intake.clients.kept() < limits.max_clients
         || intake.clients.make_room(limits.partial_request_grace, Duration::ZERO);
     client.state().over_limit = !room;
     intake.clients.connections().insert(number, client.clone());
     if let Err((number, client)) = workers.submit((number, client)) {
-        log::warn!("no room for a client");
+        log::warn!("the queue for client connections is full; refusing one");
         relay::write_local(&client, LocalResponse::Refused(None), false);
         intake.clients.connections().remove(&number);
     }
 }
 
-/// A client's connection from its first request to its end: the work of a thread of intake.
+/// Serves a client's connection from its first request to its end, on an intake thread.
 pub fn serve_connection(intake: &Intake, number: u64, client: &Arc<Client>) {
-    let mut open = None;
-    let end = catch_unwind(AssertUnwindSafe(|| read_requests(intake, client, &mut open)));
+    let mut latest = None;
+    let end = catch_unwind(AssertUnwindSafe(|| read_requests(intake, client, &mut latest)));
     if end.is_err() {
         increment(&intake.counters.defects);
-        log::error!("a thread of intake panicked");
+        log::error!("an intake thread panicked");
         if !client.state().busy {
             relay::write_local(client, LocalResponse::Status(500), false);
         }
     }
-    // Whoever leaves with a request out has gone away, unless its answer is on its way already.
-    if let Some(open) = open.filter(|open: &Arc<PendingRequest>| !open.answered()) {
-        let _ = intake.inputs.send(DecisionInput::ClientLeft(open)); // it ends only with us
+    // A client that disconnects while its request has no response has left, unless the response is already being
+    // written.
+    if let Some(request) = latest.filter(|request: &Arc<PendingRequest>| !request.answered()) {
+        let _ = intake.inputs.send(DecisionInput::ClientLeft(request)); // the decision thread ends only when the marshal stops
     }
     intake.clients.connections().remove(&number);
 }
 
-/// Reads requests until the connection ends. `open` is the request taken last.
-fn read_requests(intake: &Intake, client: &Arc<Client>, open: &mut Option<Arc<PendingRequest>>) {
+/// Reads requests until the connection ends. `latest` is the latest admitted request.
+fn read_requests(intake: &Intake, client: &Arc<Client>, latest: &mut Option<Arc<PendingRequest>>) {
     let limits = &intake.admission.limits;
     let mut chunk = [0u8; CHUNK];
     let mut incoming: Option<IncomingRequest> = None;
     let mut read_timeout = Duration::ZERO;
     loop {
-        // Whole requests first: more than one may have come together.
-        while let Some(part) = incoming.as_mut() {
-            match part.take_request(intake, client, open) {
-                Ok(Step::More) => break,
-                Ok(Step::Next) => {}
-                Ok(Step::End) => return drain(client, limits, &mut chunk),
+        // Complete requests first: more than one may have arrived together.
+        while let Some(request) = incoming.as_mut() {
+            match request.take_request(intake, client, latest) {
+                Ok(ReadStep::Incomplete) => break,
+                Ok(ReadStep::Taken) => {}
+                Ok(ReadStep::Close) => return drain(client, limits, &mut chunk),
                 Err(Malformed(status)) => {
                     increment(&intake.counters.malformed);
-                    let came = &part.buffer.bytes()[..part.buffer.bytes().len().min(300)];
-                    log::debug!("a malformed request, answered {status}: {}", came.escape_ascii());
+                    let received = &request.buffer.bytes()[..request.buffer.bytes().len().min(300)];
+                    log::debug!("malformed request, answered with {status}: {}", received.escape_ascii());
                     if client.begin(false) {
                         relay::write_local(client, LocalResponse::Status(status), false);
                         drain(client, limits, &mut chunk);
@@ -244,19 +246,19 @@
                     return;
                 }
             }
-            if part.buffer.bytes().is_empty() {
-                incoming = None; // the buffer returns to its pool: idle connections hold none
+            if request.buffer.bytes().is_empty() {
+                incoming = None; // returns the buffer to its pool: idle connections hold none
             }
         }
         if client.state().closed {
             return drain(client, limits, &mut chunk);
         }
         let timeout = match &incoming {
-            Some(part) => limits.client_read_timeout.saturating_sub(part.started_at.elapsed()),
+            Some(request) => limits.client_read_timeout.saturating_sub(request.started_at.elapsed()),
             None => limits.client_idle_timeout,
         };
-        // Guards against clients that say nothing, or never come to an end: the first request has its time from
-        // connecting on.
+        // Guards against clients that send nothing, or never complete a request: the time for the first request counts
+        // from connecting.
         let first = client.first_request_time_left(limits);
         let timeout = first.map_or(timeout, |left| timeout.min(left));
         if incoming.is_some() || read_timeout != timeout {
@@ -267,17 +269,18 @@
         }
         match (&client.stream).read(&mut chunk) {
             Ok(0) => {
-                // Guards against taking an end of our own for the client's: a request that was read in the moment in
-                // which its connection was chosen to give way is still answered.
+                // The marshal may have shut down the reading side itself: a request that was read at the moment at
+                // which its connection was chosen for eviction is still answered, and not taken for one whose client
+                // has left.
                 if client.is_closing() {
                     client.wait_until_answered();
                 }
                 return;
             }
             Ok(read) => {
-                let part = incoming.get_or_insert_with(|| IncomingRequest::new(&intake.admission.buffers));
+                let request = incoming.get_or_insert_with(|| IncomingRequest::new(&intake.admission.buffers));
                 client.state().receiving = true;
-                if !part.buffer.append(&chunk[..read]) {
+                if !request.buffer.append(&chunk[..read]) {
                     if client.begin(false) {
                         increment(&intake.counters.malformed);
                         relay::write_local(client, LocalResponse::Status(413), false);
@@ -288,11 +291,11 @@
             }
             Err(problem) if problem.kind() == io::ErrorKind::Interrupted => {}
             Err(problem) if matches!(problem.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
-                let first_over = client.first_request_time_left(limits).is_some_and(|left| left.is_zero());
-                if incoming
-                    .as_ref()
-                    .is_some_and(|part| first_over || part.started_at.elapsed() >= limits.client_read_timeout)
-                {
+                let first_request_overdue =
+                    client.first_request_time_left(limits).is_some_and(|left| left.is_zero());
+                if incoming.as_ref().is_some_and(|request| {
+                    first_request_overdue || request.started_at.elapsed() >= limits.client_read_timeout
+                }) {
                     if client.begin(false) {
                         increment(&intake.counters.malformed);
                         relay::write_local(client, LocalResponse::Status(408), false);
@@ -301,7 +304,7 @@
                     return;
                 }
                 if incoming.is_none() {
-                    client.shutdown_if_idle(); // unless a request is out; reading goes on, and finds the end
+                    client.shutdown_if_idle(); // unless a request is in progress; the next read finds the end of input
                 }
             }
             Err(_) => return,
@@ -309,8 +312,8 @@
     }
 }
 
-/// Reads what still comes after our last answer, so that it isn't cut off by a reset; of a body without end only so
-/// much, since reading it costs time that others need.
+/// Reads and discards what arrives after the last response, so that the response isn't lost to a connection reset; of
+/// an endless body only a limited amount, since reading it takes time from other requests.
 fn drain(client: &Client, limits: &Limits, chunk: &mut [u8]) {
     let until = Instant::now() + limits.linger_timeout;
     let mut amount = 0;
@@ -326,17 +329,17 @@
     }
 }
 
-/// What to do after a look at what has come.
-enum Step {
-    /// It needs more bytes.
-    More,
-    /// A request was taken; look again.
-    Next,
-    /// The connection ends.
-    End,
+/// What to do after examining the received bytes.
+enum ReadStep {
+    /// The request is incomplete.
+    Incomplete,
+    /// A request was taken; there may be another one.
+    Taken,
+    /// The connection is to be closed.
+    Close,
 }
 
-/// A request as it comes in.
+/// A request that is being received.
 struct IncomingRequest {
     buffer: Buffer,
     started_at: Instant,
@@ -356,20 +359,24 @@
         }
     }
 
-    /// Takes one request if it is there whole.
+    /// Takes one request if it is complete.
     fn take_request(
         &mut self,
         intake: &Intake,
         client: &Arc<Client>,
-        open: &mut Option<Arc<PendingRequest>>,
-    ) -> Result<Step, Malformed> {
+        latest: &mut Option<Arc<PendingRequest>>,
+    ) -> Result<ReadStep, Malformed> {
         let limits = &intake.admission.limits;
         let bytes = self.buffer.bytes();
         if http::head_end(bytes, self.scanned).is_none() {
             self.scanned = bytes.len();
-            return if bytes.len() > limits.max_head_bytes { Err(Malformed(431)) } else { Ok(Step::More) };
+            return if bytes.len() > limits.max_head_bytes {
+                Err(Malformed(431))
+            } else {
+                Ok(ReadStep::Incomplete)
+            };
         }
-        let Some(head) = http::request(bytes, limits)? else { return Ok(Step::More) };
+        let Some(head) = http::parse_request(bytes, limits)? else { return Ok(ReadStep::Incomplete) };
         let after = &bytes[head.length..];
         let (parts, framed): (Vec<Range<usize>>, Option<usize>) = match head.framing {
             Framing::Length(size) => {
@@ -381,40 +388,41 @@
             }
         };
         let Some(framed) = framed else {
-            let expects = head.get("Expect").is_some_and(|word| word.eq_ignore_ascii_case("100-continue"));
-            if expects && !self.continue_sent && client.may_write_interim() {
+            let expects_continue =
+                head.get("Expect").is_some_and(|word| word.eq_ignore_ascii_case("100-continue"));
+            if expects_continue && !self.continue_sent && client.may_write_interim() {
                 self.continue_sent = true;
                 let _ = write_all(&client.stream, &[b"HTTP/1.1 100 Continue\r\n\r\n"]);
-                // or it won't
+                // the client may have disconnected
             }
-            return Ok(Step::More);
+            return Ok(ReadStep::Incomplete);
         };
         let path = head.target.split('?').next().unwrap_or("");
         if path == wire::READINESS_PATH {
-            let serves = intake.ready.load(SeqCst) && !intake.stopping.load(SeqCst);
+            let ready = intake.ready.load(SeqCst) && !intake.stopping.load(SeqCst);
             if !client.begin(head.keep) {
-                return Ok(Step::End);
+                return Ok(ReadStep::Close);
             }
-            let status = if serves { 200 } else { 503 };
+            let status = if ready { 200 } else { 503 };
             relay::write_local(client, LocalResponse::Status(status), true);
         } else if client.is_over_limit() {
             if client.begin(false) {
                 increment(&intake.counters.turned_away);
                 relay::write_local(client, LocalResponse::Refused(None), false);
             }
-            return Ok(Step::End);
+            return Ok(ReadStep::Close);
         } else {
             let body: Vec<&[u8]> = parts.iter().map(|part| &after[part.clone()]).collect();
             let admitted = admit(&intake.admission, &head, &body, client, Instant::now())?;
             client.state().admitted_before = true;
             if !client.begin(head.keep) {
-                return Ok(Step::End);
+                return Ok(ReadStep::Close);
             }
-            *open = Some(admitted.request.clone());
+            *latest = Some(admitted.request.clone());
             increment(&intake.counters.taken);
-            if let Err(back) = intake.inputs.send(DecisionInput::RequestAdmitted(Box::new(admitted))) {
-                // The decision thread has ended: nobody else would answer.
-                if let DecisionInput::RequestAdmitted(admitted) = back.0 {
+            if let Err(unsent) = intake.inputs.send(DecisionInput::RequestAdmitted(Box::new(admitted))) {
+                // The decision thread has ended: nobody else would respond.
+                if let DecisionInput::RequestAdmitted(admitted) = unsent.0 {
                     if admitted.request.claim() {
                         relay::write_local(client, LocalResponse::Failed, false);
                     }
@@ -425,7 +433,7 @@
         self.buffer.remove(0..used);
         (self.scanned, self.chunks, self.continue_sent) = (0, ChunkedBody::default(), false);
         self.started_at = Instant::now();
-        Ok(Step::Next)
+        Ok(ReadStep::Taken)
     }
 }
 
@@ -436,13 +444,13 @@
     use std::io::Write;
     use std::net::SocketAddr;
 
-    /// The race between a look for idle connections and a request that has just come, in its worst order.
+    /// The race between closing idle connections and a request that has just arrived, in its worst order.
     #[test]
     fn a_request_read_as_its_connection_is_ended_for_others_is_still_answered() {
         let text = include_str!("../../../examples/marshal.json");
         let config = Config::read(text, |_| None).unwrap();
         let limits = crate::Limits::new(config.grant, &config.transport);
-        let (inputs, told) = crossbeam_channel::bounded(8);
+        let (inputs, sent_inputs) = crossbeam_channel::bounded(8);
         let buffers = crate::buffers::BufferPool::new(limits.buffer_bytes, 4);
         let admission = AdmissionContext { settings: config.settings, names: config.names, limits, buffers };
         let intake = Intake {
@@ -456,26 +464,28 @@
             evicting: AtomicBool::new(false),
         };
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
-        let asks = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+        let requester = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let client = Arc::new(Client::new(listener.accept().unwrap().0, Arc::default()));
         let request = "GET /api HTTP/1.1\r\nX-Txn: a\r\nX-Lane: lookup\r\nX-Remaining: 9000m\r\n\r\n";
-        (&asks).write_all(request.as_bytes()).unwrap();
+        (&requester).write_all(request.as_bytes()).unwrap();
         while client.stream.peek(&mut [0; 512]).unwrap() < request.len() {}
         client.evict();
-        let attended = client.clone();
+        let served = client.clone();
         std::thread::scope(|scope| {
-            let thread = scope.spawn(|| serve_connection(&intake, 0, &attended));
-            let Ok(DecisionInput::RequestAdmitted(admitted)) = told.recv() else { panic!("it is taken") };
-            // Time enough for the thread to find the end that we made.
-            let next = told.recv_timeout(Duration::from_millis(200));
-            assert!(next.is_err(), "its client has not left");
+            let thread = scope.spawn(|| serve_connection(&intake, 0, &served));
+            let Ok(DecisionInput::RequestAdmitted(admitted)) = sent_inputs.recv() else {
+                panic!("the request is admitted")
+            };
+            // Long enough for the thread to find the end of input that the eviction caused.
+            let next = sent_inputs.recv_timeout(Duration::from_millis(200));
+            assert!(next.is_err(), "the client has not disconnected");
             assert!(admitted.request.claim());
             relay::write_local(&client, LocalResponse::Failed, true);
             thread.join().unwrap();
         });
         let mut answer = String::new();
-        (&asks).read_to_string(&mut answer).unwrap();
+        (&requester).read_to_string(&mut answer).unwrap();
         assert!(answer.starts_with("HTTP/1.1 502 "), "{answer}");
-        assert!(told.is_empty());
+        assert!(sent_inputs.is_empty());
     }
 }
--- a/crates/marshal/src/platform.rs
+++ b/crates/marshal/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform: one connection that has asked to be told, on which votes go out too. Their answers come in
-//! the order of the calls.
+//! The platform: a single connection that subscribes to its notifications, and on which votes are sent too. The answers
+//! arrive in the order of the commands.
 
 use crate::client::write_all;
 use crate::endpoint::Endpoint;
@@ -17,11 +17,11 @@
 #[derive(Default)]
 struct Connection {
     stream: Option<Arc<TcpStream>>,
-    /// Calls that wait for their answers, in order; `None` is the one that asked to be told.
-    calls: VecDeque<Option<u64>>,
+    /// Commands that wait for their answers, in order; `None` is the subscription.
+    commands: VecDeque<Option<u64>>,
 }
 
-/// The connection and who waits on it.
+/// The client of the platform.
 pub struct Platform {
     endpoint: Arc<Endpoint>,
     limits: Limits,
@@ -31,7 +31,7 @@
 }
 
 impl Platform {
-    /// Not connected yet.
+    /// Creates a client that is not connected yet.
     pub fn new(
         endpoint: &Arc<Endpoint>,
         limits: &Limits,
@@ -46,58 +46,62 @@
         self.connection.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes votes until the decision thread has ended. Only this thread writes calls, so their order on the
-    /// connection is that of the list.
+    /// Writes votes until the decision thread has ended. Only this thread writes votes, so that their order on the
+    /// connection is that of `commands`.
     pub fn write(&self, votes: &Receiver<VoteRequest>) {
         while let Ok(VoteRequest { number, build, stage, vote, guard }) = votes.recv() {
-            let text = wire::vote_command(build.0, stage, vote);
+            let line = wire::vote_command(build.0, stage, vote);
             let holds = || guard.as_ref().is_none_or(|guard| guard.holds());
             if !holds() {
-                let _ = self.inputs.send(DecisionInput::VoteAnswered(number, Err(Outcome::NotSent))); // ends only with us
+                let _ = self.inputs.send(DecisionInput::VoteAnswered(number, Err(Outcome::NotSent))); // the decision thread ends only when the marshal stops
                 continue;
             }
             let mut connection = self.connection();
             let Some(stream) = connection.stream.clone() else {
                 drop(connection);
-                let _ = self.inputs.send(DecisionInput::VoteAnswered(number, Err(Outcome::ConnectFailed))); // ends only with us
+                let _ = self.inputs.send(DecisionInput::VoteAnswered(number, Err(Outcome::ConnectFailed))); // the decision thread ends only when the marshal stops
                 continue;
             };
-            // Known as waiting before it is written: its answer may be quick.
-            connection.calls.push_back(Some(number));
-            // A line whose guard falls before its last word has left is never finished: the connection is dropped. The
-            // whole word is held, not only the line's end: guards against a reader that takes a line cut short.
-            let held = text.rfind(' ').map_or(0, |space| space + 1);
-            let (first, whole) = match guard {
-                Some(_) => (write_all(&*stream, &[&text.as_bytes()[..held]]), &text.as_bytes()[held..]),
-                None => (Ok(()), text.as_bytes()),
+            // Registered before it is written, because its answer may arrive at once.
+            connection.commands.push_back(Some(number));
+            // If the guard no longer holds before the last word has been sent, the line is never completed and the
+            // connection is dropped. The whole word is held back, and not only the line end: guards against a receiver
+            // that accepts a truncated line.
+            let last_word_at = line.rfind(' ').map_or(0, |space| space + 1);
+            let (first, rest) = match guard {
+                Some(_) => (
+                    write_all(&*stream, &[&line.as_bytes()[..last_word_at]]),
+                    &line.as_bytes()[last_word_at..],
+                ),
+                None => (Ok(()), line.as_bytes()),
             };
-            if first.is_err() || !holds() || write_all(&*stream, &[whole]).is_err() {
-                connection.calls.pop_back();
-                let _ = stream.shutdown(Shutdown::Both); // the reader renews it
+            if first.is_err() || !holds() || write_all(&*stream, &[rest]).is_err() {
+                connection.commands.pop_back();
+                let _ = stream.shutdown(Shutdown::Both); // the reading thread reconnects
                 drop(connection);
                 let _ = self.inputs.send(DecisionInput::VoteAnswered(number, Err(Outcome::ConnectFailed)));
-                // ends only with us
+                // the decision thread ends only when the marshal stops
             }
         }
     }
 
-    /// Reads what the platform tells; renews the connection at once, then with growing pauses. Where the platform
-    /// moves, the connection ends, and with it each vote that is unanswered; a new one is made at once.
+    /// Reads notifications and answers; reconnects at once after a failure, then with growing delays. If the platform's
+    /// address changes, the connection ends, every unanswered vote with it, and a new connection is made at once.
     pub fn read(&self) {
         let mut retry_delay = self.limits.first_retry_delay;
         while !self.endpoint.is_closed() {
-            let (mut received, (at, generation)) = (false, self.endpoint.current());
-            if let Err(problem) = self.listen(at, generation, &mut received) {
+            let (mut received, (address, generation)) = (false, self.endpoint.current());
+            if let Err(problem) = self.listen(address, generation, &mut received) {
                 log::warn!("platform: {problem}");
             }
-            let calls = {
+            let commands = {
                 let mut connection = self.connection();
                 connection.stream = None;
-                std::mem::take(&mut connection.calls)
+                std::mem::take(&mut connection.commands)
             };
-            for number in calls.into_iter().flatten() {
+            for number in commands.into_iter().flatten() {
                 let _ = self.inputs.send(DecisionInput::VoteAnswered(number, Err(Outcome::Timeout)));
-                // ends only with us
+                // the decision thread ends only when the marshal stops
             }
             retry_delay = if received {
                 self.limits.first_retry_delay
@@ -108,25 +112,25 @@
         }
     }
 
-    fn listen(&self, at: SocketAddr, generation: u64, received: &mut bool) -> io::Result<()> {
-        let stream = Arc::new(TcpStream::connect_timeout(&at, self.limits.connect_timeout)?);
+    fn listen(&self, address: SocketAddr, generation: u64, received: &mut bool) -> io::Result<()> {
+        let stream = Arc::new(TcpStream::connect_timeout(&address, self.limits.connect_timeout)?);
         if !self.endpoint.register(generation, &stream) {
-            return Ok(()); // it has moved meanwhile
+            return Ok(()); // the address has changed in the meantime
         }
         stream.set_nodelay(true)?;
         stream.set_write_timeout(Some(self.limits.node_write_timeout))?;
         {
             let mut connection = self.connection();
             write_all(&*stream, &[wire::SUBSCRIBE_COMMAND.as_bytes()])?;
-            connection.calls = VecDeque::from([None]);
+            connection.commands = VecDeque::from([None]);
             connection.stream = Some(stream.clone());
         }
         let mut text: Vec<u8> = Vec::new();
         let mut chunk = [0u8; 2048];
         loop {
-            // Guards against a line of which only a part comes: nothing else would on that connection.
-            let begun = !text.is_empty();
-            let timeout = if begun {
+            // Guards against a line that stops halfway: nothing else would arrive on that connection.
+            let line_begun = !text.is_empty();
+            let timeout = if line_begun {
                 self.limits.partial_response_timeout
             } else {
                 self.limits.platform_silence_timeout
@@ -144,9 +148,9 @@
                     let line = String::from_utf8_lossy(text.trim_ascii_end()).into_owned();
                     text.clear();
                     self.handle_line(&line)
-                        .inspect_err(|_| log::debug!("spoilt: {}", line.escape_debug()))?;
+                        .inspect_err(|_| log::debug!("platform: malformed line: {}", line.escape_debug()))?;
                 } else if text.len() >= self.limits.max_platform_line_bytes {
-                    return Err(io::Error::new(io::ErrorKind::InvalidData, "a line of 8 KiB or more"));
+                    return Err(io::Error::new(io::ErrorKind::InvalidData, "a line exceeds 8 KiB"));
                 } else {
                     text.push(byte);
                 }
@@ -154,7 +158,7 @@
         }
     }
 
-    /// One line. A call's answer that can't be read leaves open what became of it.
+    /// Handles one line. If the answer to a vote cannot be parsed, the fate of that vote is unknown.
     fn handle_line(&self, line: &str) -> io::Result<()> {
         let parsed = wire::parse_platform_line(line);
         log::debug!("told {}", line.escape_debug());
@@ -162,7 +166,7 @@
         let event = match parsed {
             PlatformLine::KeepAlive => None,
             PlatformLine::UnknownNotification => {
-                log::info!("platform: not understood: {}", line.escape_debug());
+                log::info!("platform: unknown notification: {}", line.escape_debug());
                 None
             }
             PlatformLine::Stage(state, phase) => {
@@ -177,31 +181,34 @@
                 Event::WrongAnswer { node, class, age: Ms(age) }
             }),
             PlatformLine::Malformed if line.starts_with('*') => {
-                return Err(io::Error::new(io::ErrorKind::InvalidData, "news that can't be read"));
+                return Err(io::Error::new(io::ErrorKind::InvalidData, "a notification cannot be parsed"));
             }
             PlatformLine::Ok(..) | PlatformLine::Refused(_) | PlatformLine::Malformed => {
-                let Some(call) = self.connection().calls.pop_front() else {
-                    return Err(io::Error::new(io::ErrorKind::InvalidData, "an answer to no call"));
+                let Some(command) = self.connection().commands.pop_front() else {
+                    return Err(io::Error::new(
+                        io::ErrorKind::InvalidData,
+                        "an answer without a pending command",
+                    ));
                 };
                 let answer = match parsed {
                     PlatformLine::Ok(Some(state), Some(phase)) => Ok(wire::stage_report(state, phase, true)),
                     PlatformLine::Refused(outcome) => Err(outcome),
                     _ => Err(Outcome::Timeout),
                 };
-                let lost =
-                    call.is_none() && matches!(parsed, PlatformLine::Refused(_) | PlatformLine::Malformed);
-                if let Some(number) = call {
+                let subscription_failed =
+                    command.is_none() && matches!(parsed, PlatformLine::Refused(_) | PlatformLine::Malformed);
+                if let Some(number) = command {
                     let _ = self.inputs.send(DecisionInput::VoteAnswered(number, answer));
-                    // it ends only with us
+                    // the decision thread ends only when the marshal stops
                 }
-                if lost || parsed == PlatformLine::Malformed {
-                    return Err(io::Error::new(io::ErrorKind::InvalidData, "an answer that can't be read"));
+                if subscription_failed || parsed == PlatformLine::Malformed {
+                    return Err(io::Error::new(io::ErrorKind::InvalidData, "an answer cannot be parsed"));
                 }
                 None
             }
         };
         if let Some(event) = event {
-            let _ = self.inputs.send(DecisionInput::Event(event)); // it ends only with us
+            let _ = self.inputs.send(DecisionInput::Event(event)); // the decision thread ends only when the marshal stops
         }
         Ok(())
     }
--- a/crates/marshal/src/relay.rs
+++ b/crates/marshal/src/relay.rs
@@ -1,4 +1,4 @@
-//! The client's answer: a node's own, or one that the marshal words itself.
+//! The response to the client: a node's response, or one that the marshal generates itself.
 
 use crate::accounting::PendingRequest;
 use crate::client::Client;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The head that goes before a node's answer of some size.
+/// The head of the response to the client, for a node's response with a body of `size` bytes.
 fn head_text(head: &Head<'_>, size: usize, keep: bool) -> Vec<u8> {
     let mut text = Vec::with_capacity(256);
     text.extend_from_slice(b"HTTP/1.1 200 OK\r\n");
@@ -26,10 +26,10 @@
     text
 }
 
-/// Passes a node's answer on; the right to answer must have been claimed.
+/// Forwards a node's response; the right to respond must have been claimed. Returns whether it was written.
 pub fn write_node_response(request: &PendingRequest, head: &Head<'_>, body: &[&[u8]]) -> bool {
     let size: usize = body.iter().map(|part| part.len()).sum();
-    let Some(client) = request.origin.as_ref().map(|socket| &socket.client) else { return false };
+    let Some(client) = request.origin.as_ref().map(|origin| &origin.client) else { return false };
     let keep = client.keeps_alive();
     let text = head_text(head, size, keep);
     let mut parts = Vec::with_capacity(body.len() + 1);
@@ -42,8 +42,8 @@
     written
 }
 
-/// An answer too long to be held, on its way to the client. Ends the client's connection where it does not come
-/// to its end, so that the client can tell.
+/// A response that is too long to be buffered, streamed to the client. If it is dropped before its end, it closes the
+/// client's connection so that the client notices.
 pub struct StreamedResponse<'a> {
     client: &'a Client,
     remaining: usize,
@@ -52,7 +52,7 @@
 }
 
 impl<'a> StreamedResponse<'a> {
-    /// Writes its head; the right to answer must have been claimed. `None` where the client has gone.
+    /// Writes the head; the right to respond must have been claimed. `None` if the client has disconnected.
     pub fn begin(request: &'a PendingRequest, head: &Head<'_>, size: usize) -> Option<StreamedResponse<'a>> {
         let client = &*request.origin.as_ref()?.client;
         let stream = StreamedResponse {
@@ -61,22 +61,22 @@
             keep: client.keeps_alive(),
             write_time: Duration::ZERO,
         };
-        let begun = client.write_part(&head_text(head, size, stream.keep));
-        begun.then_some(stream)
+        let written = client.write_part(&head_text(head, size, stream.keep));
+        written.then_some(stream)
     }
-    /// Bytes that are still to come.
+    /// The number of body bytes that have not been written yet.
     pub fn remaining(&self) -> usize {
         self.remaining
     }
-    /// Time that the client took to take what was written.
+    /// The time spent in writing to the client.
     pub fn write_time(&self) -> Duration {
         self.write_time
     }
-    /// Writes what has come; false where the client has gone.
+    /// Writes the next bytes of the body; false if the client has disconnected.
     pub fn write(&mut self, bytes: &[u8]) -> bool {
-        let from = Instant::now();
+        let started = Instant::now();
         let written = self.write_part(bytes);
-        self.write_time += from.elapsed();
+        self.write_time += started.elapsed();
         written
     }
     fn write_part(&mut self, bytes: &[u8]) -> bool {
@@ -104,7 +104,7 @@
     }
 }
 
-/// Writes an answer that no node made. Gives whether the connection outlives it.
+/// Writes a response that the marshal generates itself. Returns whether the connection stays open.
 pub fn write_local(client: &Client, response: LocalResponse, keep: bool) -> bool {
     let keep = keep && client.keeps_alive();
     let (status, extra) = match response {
@@ -117,19 +117,19 @@
     client.finish_response(&[text.as_bytes()], keep) && keep
 }
 
-/// Threads that write the answers which the decision thread words; that thread must not wait on a socket.
+/// Threads that write the responses chosen by the decision thread, which must not block on a socket.
 pub struct ResponseWriters(WorkerPool<(Arc<PendingRequest>, LocalResponse)>);
 
 impl ResponseWriters {
-    /// Room for as many answers as clients can wait for.
+    /// Starts the writers, with room in the queue for a response to every client.
     pub fn new(limits: &Limits) -> io::Result<ResponseWriters> {
         WorkerPool::new(
             "relay",
             limits.pool_options(limits.max_response_writers, limits.max_clients * 2),
-            |(request, answer): (Arc<PendingRequest>, LocalResponse)| {
-                let Some(socket) = &request.origin else { return }; // its own front words it
-                if !write_local(&socket.client, answer, true) {
-                    socket.client.shutdown_read();
+            |(request, response): (Arc<PendingRequest>, LocalResponse)| {
+                let Some(origin) = &request.origin else { return }; // its own front end responds
+                if !write_local(&origin.client, response, true) {
+                    origin.client.shutdown_read();
                 }
             },
         )
--- a/crates/marshal/src/reload.rs
+++ b/crates/marshal/src/reload.rs
@@ -1,12 +1,12 @@
-//! Reload: at a sign the configuration is read again and checked; new addresses of discovery and the platform are
-//! handed on. Nothing else changes while the marshal runs: requests notice nothing.
+//! Reloading: on a signal the configuration is read and validated again, and new addresses of discovery and the
+//! platform take effect. Nothing else changes while the marshal runs, and requests are not affected.
 
 use crate::config::Config;
 use crate::endpoint::Endpoint;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What the running marshal was told, and who follows new addresses.
+/// The configuration in effect, and the endpoints whose addresses may change.
 pub struct Reloader {
     listen: SocketAddr,
     fixed_settings: String,
@@ -15,22 +15,22 @@
 }
 
 impl Reloader {
-    /// Of the configuration that the marshal started with.
+    /// Creates a reloader for the configuration that the marshal started with.
     pub fn new(config: &Config, discovery: &Arc<Endpoint>, platform: &Arc<Endpoint>) -> Reloader {
         let (discovery, platform) = (discovery.clone(), platform.clone());
         Reloader { listen: config.listen, fixed_settings: fixed_settings(config), discovery, platform }
     }
 
-    /// Takes on a configuration that was read anew; what is wrong with it leaves all as it is, with one line.
+    /// Applies a configuration that was read again; an invalid one is logged in one line and changes nothing.
     pub fn apply(&self, read: Result<Config, String>) {
         let config = match read {
             Ok(config) => config,
-            Err(problem) => return log::error!("reload: {problem}; the running configuration stays"),
+            Err(problem) => {
+                return log::error!("reload: {problem}; the running configuration stays in effect")
+            }
         };
         if config.listen != self.listen || fixed_settings(&config) != self.fixed_settings {
-            log::warn!(
-                "reload: listen, limits and settings count from the next start on, and stay as they are"
-            );
+            log::warn!("reload: changes of listen, limits and settings take effect at the next start only");
         }
         let discovery = self.discovery.move_to(config.discovery);
         let platform = self.platform.move_to(config.platform);
@@ -45,7 +45,7 @@
     }
 }
 
-/// What can't change while a marshal runs, as text to compare.
+/// The part of the configuration that cannot change while the marshal runs, as text for comparison.
 fn fixed_settings(config: &Config) -> String {
     format!("{:?} {:?} {:?}", config.grant, config.transport, config.settings)
 }
--- a/crates/marshal/src/route.rs
+++ b/crates/marshal/src/route.rs
@@ -1,5 +1,5 @@
-//! The decision thread: it alone owns the module, the table of requests and the timers. It waits for nothing
-//! but its one channel, and does what the module says.
+//! The decision thread: the only owner of the module, the table of requests and the timers. It blocks on nothing but
+//! its input queue, and executes the actions that the module returns.
 
 use crate::accounting::{increment, Counters, PendingRequest};
 use crate::clock::{to_duration, Clock};
@@ -23,7 +23,7 @@
 
 enum TimerEvent {
     Module(String),
-    Answer(RequestId),
+    ResponseOverdue(RequestId),
     Attempt(RequestId, u32),
     Vote(u64),
     Sweep,
@@ -32,17 +32,17 @@
 
 type TimerKey = (Instant, u64);
 
-/// An attempt that is out.
+/// An attempt in progress.
 struct OutstandingAttempt {
     attempt: u32,
     node: NodeId,
-    sent: Instant,
-    /// The timer that cuts it off.
-    when: TimerKey,
+    sent_at: Instant,
+    /// The timer that times the attempt out.
+    timer: TimerKey,
     handle: Arc<dyn AttemptHandle>,
 }
 
-/// A request that owes its answer or has attempts out.
+/// A request that needs its response or has attempts in progress.
 struct TrackedRequest {
     request: Arc<PendingRequest>,
     attempts_started: u32,
@@ -59,38 +59,38 @@
     }
 }
 
-/// What the decision thread works with.
+/// The configuration and components that the decision thread works with.
 pub struct DecisionContext {
     /// The module's settings.
     pub settings: Settings,
-    /// Its seed.
+    /// The seed of the module.
     pub seed: u64,
-    /// The limits.
+    /// The intervals and timeouts.
     pub limits: Limits,
-    /// The clock.
+    /// The clock that the module's times refer to.
     pub clock: Clock,
     /// The counters.
     pub counters: Arc<Counters>,
-    /// Who carries attempts.
+    /// Sends attempts to nodes.
     pub attempt_sender: Box<dyn AttemptSender>,
-    /// Who hands out answers that no node made.
+    /// Sends responses that the marshal generates itself.
     pub responses: Box<dyn ResponseSender>,
-    /// Who speaks with the platform.
+    /// Sends votes to the platform.
     pub vote_sender: Box<dyn VoteSender>,
-    /// Who asks discovery.
+    /// Requests node lists from discovery.
     pub discovery: Box<dyn DiscoveryRequester>,
-    /// The group of instances that judge as one, where there is one.
+    /// The group of instances that decide as one, if there is one.
     pub group: Option<Box<dyn GroupObserver>>,
-    /// Who follows what becomes of builds, where somebody does.
+    /// Follows the rollout of builds, if configured.
     pub rollout_observer: Option<Box<dyn RolloutObserver>>,
 }
 
-/// The decision thread's own.
+/// The state of the decision thread.
 pub struct DecisionThread {
     context: DecisionContext,
     marshal: Marshal,
     actions: Vec<Action>,
-    /// The list and the news as told last, for a module that has to begin anew.
+    /// The latest node list and stage, for restarting the module after a panic.
     nodes: BTreeMap<NodeId, NodeEntry>,
     stage: Option<StageReport>,
     requests: HashMap<RequestId, TrackedRequest>,
@@ -100,14 +100,14 @@
 }
 
 impl DecisionThread {
-    /// Begins with the list and the news that the configuration holds.
+    /// Starts the module with the node list and the stage from the configuration.
     pub fn new(
         context: DecisionContext,
         known: Vec<(NodeEntry, SocketAddr)>,
         stage: Option<StageReport>,
     ) -> DecisionThread {
         let marshal = Marshal::new(context.settings.clone(), context.seed);
-        let mut route = DecisionThread {
+        let mut thread = DecisionThread {
             context,
             marshal,
             actions: Vec::new(),
@@ -119,17 +119,17 @@
             last_number: 0,
         };
         let now = Instant::now();
-        route.set_timer(now + route.context.limits.sweep_interval, TimerEvent::Sweep);
-        route.set_timer(now + route.context.limits.report_interval, TimerEvent::Report);
-        route.deliver(Event::Start);
-        route.handle(DecisionInput::FleetUpdate(FleetUpdateKind::Restored, known));
+        thread.set_timer(now + thread.context.limits.sweep_interval, TimerEvent::Sweep);
+        thread.set_timer(now + thread.context.limits.report_interval, TimerEvent::Report);
+        thread.deliver(Event::Start);
+        thread.handle(DecisionInput::FleetUpdate(FleetUpdateKind::Restored, known));
         if let Some(stage) = stage {
-            route.handle(DecisionInput::Event(Event::StageReport(stage)));
+            thread.handle(DecisionInput::Event(Event::StageReport(stage)));
         }
-        route
+        thread
     }
 
-    /// Works until told to stop.
+    /// Runs until told to stop.
     pub fn run(mut self, inputs: &Receiver<DecisionInput>) {
         loop {
             let next = match self.timers.first_key_value() {
@@ -143,8 +143,8 @@
             }
             let now = Instant::now();
             while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
-                let (when, due) = entry.remove_entry();
-                self.fire(when, due);
+                let (timer, due) = entry.remove_entry();
+                self.fire(timer, due);
             }
         }
     }
@@ -155,13 +155,13 @@
         (at, self.last_number)
     }
 
-    /// Tells the module, and does what it says. A module that panics loses no request: what is open fails,
-    /// and a new one begins with the list and the news as told last.
+    /// Delivers an event to the module and executes the returned actions. If the module panics, no request is lost:
+    /// pending requests fail, and a new module starts with the latest node list and stage.
     fn deliver(&mut self, event: Event) {
         let now = self.context.clock.ms(Instant::now());
         let mut actions = std::mem::take(&mut self.actions);
-        let told = catch_unwind(AssertUnwindSafe(|| self.marshal.handle(now, event, &mut actions)));
-        if told.is_err() {
+        let result = catch_unwind(AssertUnwindSafe(|| self.marshal.handle(now, event, &mut actions)));
+        if result.is_err() {
             actions.clear();
             self.restart_module(now, &mut actions);
         }
@@ -173,12 +173,12 @@
 
     fn restart_module(&mut self, now: Ms, actions: &mut Vec<Action>) {
         increment(&self.context.counters.defects);
-        log::error!("the module panicked: what is open fails, and it begins anew");
-        for entry in self.requests.values_mut() {
-            entry.cancel();
-            if entry.request.claim() {
+        log::error!("the module panicked: pending requests fail, and the module restarts");
+        for tracked in self.requests.values_mut() {
+            tracked.cancel();
+            if tracked.request.claim() {
                 increment(&self.context.counters.failed);
-                self.context.responses.enqueue(entry.request.clone(), LocalResponse::Failed);
+                self.context.responses.enqueue(tracked.request.clone(), LocalResponse::Failed);
             }
         }
         self.timers.retain(|_, due| !matches!(due, TimerEvent::Module(_)));
@@ -198,12 +198,12 @@
             DecisionInput::ClientLeft(request) => {
                 if request.claim() {
                     increment(&self.context.counters.gone);
-                    if let Some(entry) = self.requests.get(&request.id) {
-                        let out = entry.describe();
+                    if let Some(tracked) = self.requests.get(&request.id) {
+                        let out = tracked.describe();
                         let left = request.deadline.saturating_duration_since(Instant::now());
                         log::debug!(
-                            "client left with {left:?} to go, {} copies, out: {out:?}",
-                            entry.attempts_started
+                            "client disconnected {left:?} before its deadline; {} attempts started, outstanding: {out:?}",
+                            tracked.attempts_started
                         );
                     }
                     self.finished(&request.id);
@@ -234,7 +234,7 @@
     fn request_admitted(&mut self, admitted: AdmittedRequest) {
         let AdmittedRequest { request, class, key, tenant, work_hint, is_retry } = admitted;
         if self.requests.contains_key(&request.id) {
-            // Two open requests with one id could not be told apart; the first goes on.
+            // Two pending requests with the same id could not be told apart; the first one continues.
             if request.claim() {
                 increment(&self.context.counters.malformed);
                 self.context.responses.enqueue(request, LocalResponse::Status(409));
@@ -244,7 +244,7 @@
         let id = request.id.clone();
         let due = self.set_timer(
             request.deadline + self.context.limits.response_overdue_after,
-            TimerEvent::Answer(id.clone()),
+            TimerEvent::ResponseOverdue(id.clone()),
         );
         let left = request.deadline.saturating_duration_since(Instant::now());
         let expires_in = Ms(left.as_secs_f64() * 1000.0);
@@ -255,33 +255,34 @@
         self.deliver(Event::Request { id, class, key, tenant, expires_in, work_hint, is_retry });
     }
 
-    /// A request has its answer: nothing is overdue any more. It is forgotten with its last attempt.
+    /// Called once a request has its response, so that it can no longer become overdue. It is removed with its last
+    /// attempt.
     fn finished(&mut self, id: &RequestId) {
-        let Some(entry) = self.requests.get_mut(id) else { return };
-        if let Some(due) = entry.due.take() {
+        let Some(tracked) = self.requests.get_mut(id) else { return };
+        if let Some(due) = tracked.due.take() {
             self.timers.remove(&due);
         }
-        if entry.outstanding.is_empty() {
+        if tracked.outstanding.is_empty() {
             self.requests.remove(id);
         }
     }
 
     fn attempt_ended(&mut self, id: RequestId, attempt: u32, outcome: Outcome, at: Instant) {
-        let Some(entry) = self.requests.get_mut(&id) else { return };
-        let Some(place) = entry.outstanding.iter().position(|outstanding| outstanding.attempt == attempt)
+        let Some(tracked) = self.requests.get_mut(&id) else { return };
+        let Some(place) = tracked.outstanding.iter().position(|outstanding| outstanding.attempt == attempt)
         else {
             return;
         };
-        let OutstandingAttempt { node, sent, when, .. } = entry.outstanding.swap_remove(place);
-        self.timers.remove(&when);
-        let answered = entry.request.answered();
+        let OutstandingAttempt { node, sent_at, timer, .. } = tracked.outstanding.swap_remove(place);
+        self.timers.remove(&timer);
+        let answered = tracked.request.answered();
         if answered {
             self.finished(&id);
         }
-        let latency = Ms(at.saturating_duration_since(sent).as_secs_f64() * 1000.0);
+        let latency = Ms(at.saturating_duration_since(sent_at).as_secs_f64() * 1000.0);
         self.deliver(Event::Completed {
             id,
-            attempt: attempt,
+            attempt,
             node,
             outcome,
             latency,
@@ -290,7 +291,7 @@
         });
     }
 
-    /// Follows the list, and keeps it for a module that has to begin anew.
+    /// Applies a change of the node list, and keeps the list for a restart of the module.
     fn fleet_update(&mut self, kind: FleetUpdateKind, entries: Vec<(NodeEntry, SocketAddr)>) {
         self.context.attempt_sender.update_fleet(kind, &entries);
         if matches!(kind, FleetUpdateKind::Replace | FleetUpdateKind::Restored) {
@@ -307,8 +308,8 @@
     }
 
     fn vote_answered(&mut self, number: u64, answer: Result<StageReport, Outcome>) {
-        let Some(when) = self.votes.remove(&number) else { return }; // it timed out before
-        self.timers.remove(&when);
+        let Some(timer) = self.votes.remove(&number) else { return }; // it has already timed out
+        self.timers.remove(&timer);
         let stage = answer.unwrap_or_else(|outcome| StageReport {
             answers_vote: true,
             outcome,
@@ -331,32 +332,33 @@
         self.deliver(Event::StageReport(stage));
     }
 
-    fn fire(&mut self, when: TimerKey, due: TimerEvent) {
+    fn fire(&mut self, timer: TimerKey, due: TimerEvent) {
         match due {
             TimerEvent::Module(key) => self.deliver(Event::Timer(key)),
             TimerEvent::Vote(number) => self.vote_answered(number, Err(Outcome::Timeout)),
-            // Whoever carries it tells the rest. A socket's own time-out may come an eighth later.
-            TimerEvent::Attempt(id, attempt) => self.time_out_attempt(&id, attempt, when),
-            TimerEvent::Answer(id) => {
-                let Some(entry) = self.requests.get_mut(&id).filter(|entry| entry.due == Some(when)) else {
+            // Whoever carries the attempt reports its end. A socket's own timeout may fire up to an eighth late.
+            TimerEvent::Attempt(id, attempt) => self.time_out_attempt(&id, attempt, timer),
+            TimerEvent::ResponseOverdue(id) => {
+                let Some(tracked) = self.requests.get_mut(&id).filter(|tracked| tracked.due == Some(timer))
+                else {
                     return;
                 };
-                entry.due = None;
-                let out = entry.describe();
-                entry.cancel();
-                if entry.request.claim() {
+                tracked.due = None;
+                let out = tracked.describe();
+                tracked.cancel();
+                if tracked.request.claim() {
                     increment(&self.context.counters.defects);
                     increment(&self.context.counters.failed);
-                    let attempts_started = entry.attempts_started;
+                    let attempts_started = tracked.attempts_started;
                     log::error!("request {} got no response in time; {attempts_started} attempts started, outstanding: {out:?}", id.0);
-                    self.context.responses.enqueue(entry.request.clone(), LocalResponse::Failed);
+                    self.context.responses.enqueue(tracked.request.clone(), LocalResponse::Failed);
                     self.finished(&id);
                     self.deliver(Event::ClientGone(id));
                 }
             }
             TimerEvent::Sweep => {
                 self.context.attempt_sender.sweep();
-                self.set_timer(when.0 + self.context.limits.sweep_interval, TimerEvent::Sweep);
+                self.set_timer(timer.0 + self.context.limits.sweep_interval, TimerEvent::Sweep);
             }
             TimerEvent::Report => {
                 let held = self.requests.len();
@@ -365,26 +367,27 @@
                     self.context.counters,
                     self.context.attempt_sender.report()
                 );
-                self.set_timer(when.0 + self.context.limits.report_interval, TimerEvent::Report);
+                self.set_timer(timer.0 + self.context.limits.report_interval, TimerEvent::Report);
             }
         }
     }
 
-    /// An attempt's time is over; but an answer that is on its way to the client already has until its deadline.
-    fn time_out_attempt(&mut self, id: &RequestId, attempt: u32, when: TimerKey) {
-        let Some(entry) = self.requests.get_mut(id) else { return };
-        let deadline = entry.request.deadline;
+    /// The attempt has timed out; but a response that is already being streamed to the client has until the client's
+    /// deadline.
+    fn time_out_attempt(&mut self, id: &RequestId, attempt: u32, timer: TimerKey) {
+        let Some(tracked) = self.requests.get_mut(id) else { return };
+        let deadline = tracked.request.deadline;
         let Some(outstanding) =
-            entry.outstanding.iter_mut().find(|outstanding| outstanding.attempt == attempt)
+            tracked.outstanding.iter_mut().find(|outstanding| outstanding.attempt == attempt)
         else {
             return;
         };
-        if !outstanding.handle.is_streaming() || when.0 >= deadline {
+        if !outstanding.handle.is_streaming() || timer.0 >= deadline {
             return outstanding.handle.time_out();
         }
         self.last_number += 1;
-        outstanding.when = (deadline, self.last_number);
-        self.timers.insert(outstanding.when, TimerEvent::Attempt(id.clone(), attempt));
+        outstanding.timer = (deadline, self.last_number);
+        self.timers.insert(outstanding.timer, TimerEvent::Attempt(id.clone(), attempt));
     }
 
     fn act(&mut self, action: Action) {
@@ -394,7 +397,7 @@
             Action::Fail(id) => self.respond(&id, LocalResponse::Failed),
             Action::Cancel(id, attempt) => {
                 let out =
-                    self.requests.get(&id).map(|entry| entry.outstanding.as_slice()).unwrap_or_default();
+                    self.requests.get(&id).map(|tracked| tracked.outstanding.as_slice()).unwrap_or_default();
                 out.iter().filter(|out| out.attempt == attempt).for_each(|out| out.handle.cancel());
             }
             Action::CastVote { build, stage, vote } => {
@@ -404,11 +407,11 @@
                     .for_each(|rollout_observer| rollout_observer.vote_cast(build, vote));
                 self.last_number += 1;
                 let number = self.last_number;
-                let when = self.set_timer(
+                let timer = self.set_timer(
                     Instant::now() + to_duration(self.context.settings.vote_answer_timeout),
                     TimerEvent::Vote(number),
                 );
-                self.votes.insert(number, when);
+                self.votes.insert(number, timer);
                 if !self.context.vote_sender.cast(VoteRequest { number, build, stage, vote, guard: None }) {
                     self.vote_answered(number, Err(Outcome::ConnectFailed));
                 }
@@ -426,10 +429,10 @@
             Action::Subscribe => self.ask(DiscoveryRequest::Subscribe),
             Action::FetchFleet => self.ask(DiscoveryRequest::Fetch),
             Action::Probe(node) => {
-                // The protocol has no probe: it never ran.
+                // The protocol has no probes: the probe was never sent.
                 self.deliver(Event::ProbeCompleted(node, Outcome::NotSent, Ms(0.0), None));
             }
-            Action::BroadcastToPeers(_) => log::debug!("the protocol has no messages among marshals"),
+            Action::BroadcastToPeers(_) => log::debug!("the protocol has no messages between marshals"),
             Action::SetTimer(key, at) => {
                 let at = self.context.clock.instant(at);
                 self.set_timer(at, TimerEvent::Module(key));
@@ -445,13 +448,13 @@
     }
 
     fn respond(&mut self, id: &RequestId, word: LocalResponse) {
-        let Some(entry) = self.requests.get(id) else { return };
-        if entry.request.claim() {
+        let Some(tracked) = self.requests.get(id) else { return };
+        if tracked.request.claim() {
             let refused = matches!(word, LocalResponse::Refused(_));
             increment(if refused { &self.context.counters.refused } else { &self.context.counters.failed });
-            if !self.context.responses.enqueue(entry.request.clone(), word) {
+            if !self.context.responses.enqueue(tracked.request.clone(), word) {
                 increment(&self.context.counters.defects);
-                log::error!("no room for an answer to {}", id.0);
+                log::error!("the response queue is full; no response to {}", id.0);
             }
             self.finished(id);
         }
@@ -459,34 +462,36 @@
 
     fn attempt(&mut self, id: RequestId, node: &NodeId, timeout: Option<Ms>) {
         let now = Instant::now();
-        let Some(entry) = self.requests.get_mut(&id) else { return };
-        let attempt = entry.attempts_started;
-        entry.attempts_started += 1;
-        let deadline = entry.request.deadline;
-        let until = timeout.map_or(deadline, |timeout| deadline.min(now + to_duration(timeout)));
-        let moot = entry.request.answered() || attempt >= self.context.settings.max_attempts || until <= now;
+        let Some(tracked) = self.requests.get_mut(&id) else { return };
+        let attempt = tracked.attempts_started;
+        tracked.attempts_started += 1;
+        let deadline = tracked.request.deadline;
+        let attempt_deadline = timeout.map_or(deadline, |timeout| deadline.min(now + to_duration(timeout)));
+        let already_over = tracked.request.answered()
+            || attempt >= self.context.settings.max_attempts
+            || attempt_deadline <= now;
         let order = AttemptOrder {
-            request: entry.request.clone(),
+            request: tracked.request.clone(),
             attempt,
             node: node.clone(),
             sent_at: now,
             deadline,
         };
         if let Some(handle) =
-            Some(order).filter(|_| !moot).and_then(|order| self.context.attempt_sender.start(order))
+            Some(order).filter(|_| !already_over).and_then(|order| self.context.attempt_sender.start(order))
         {
-            let when = self.set_timer(until, TimerEvent::Attempt(id.clone(), attempt));
-            let outstanding = OutstandingAttempt { attempt, node: node.clone(), sent: now, when, handle };
-            self.requests.entry(id).and_modify(|entry| entry.outstanding.push(outstanding));
+            let timer = self.set_timer(attempt_deadline, TimerEvent::Attempt(id.clone(), attempt));
+            let outstanding = OutstandingAttempt { attempt, node: node.clone(), sent_at: now, timer, handle };
+            self.requests.entry(id).and_modify(|tracked| tracked.outstanding.push(outstanding));
             return;
         }
-        // Never sent: the request is over, its node has left, or no worker is free.
-        let answered = entry.request.answered();
+        // Never sent: the request is already over, its node has been removed, or no worker is free.
+        let answered = tracked.request.answered();
         let node = node.clone();
         let (outcome, latency) = (Outcome::NotSent, Ms(0.0));
         self.deliver(Event::Completed {
             id,
-            attempt: attempt,
+            attempt,
             node,
             outcome,
             latency,
--- a/crates/marshal/src/send.rs
+++ b/crates/marshal/src/send.rs
@@ -1,5 +1,5 @@
-//! Sending: one attempt at a node, written and read by a worker on a connection from the node's pool. Whether
-//! an attempt may have run is known by whether its last byte was written; nothing is sent again from here.
+//! Sending: one attempt at a node, written and read by a worker thread on a connection from the node's pool. Whether an
+//! attempt may have run is determined by whether its last byte was written; nothing is retried here.
 
 use crate::accounting::{increment, Counters, PendingRequest};
 use crate::buffers::{Buffer, BufferPool};
@@ -24,14 +24,14 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A connection to a node, counted as long as it lives.
+/// A connection to a node, counted as long as it exists.
 pub struct NodeConnection {
     stream: TcpStream,
-    open: Arc<AtomicUsize>,
+    open_connections: Arc<AtomicUsize>,
 }
 
 impl NodeConnection {
-    /// Whether it stands, as far as can be seen, and nothing has come on it.
+    /// Whether the connection is open, as far as can be seen, and no bytes are waiting on it.
     fn is_quiet(&self) -> bool {
         self.stream.set_nonblocking(true).is_ok()
             && matches!(self.stream.peek(&mut [0]), Err(problem) if problem.kind() == io::ErrorKind::WouldBlock)
@@ -41,35 +41,35 @@
 
 impl Drop for NodeConnection {
     fn drop(&mut self) {
-        self.open.fetch_sub(1, SeqCst);
+        self.open_connections.fetch_sub(1, SeqCst);
     }
 }
 
-/// A node's address and the idle connections to it, the latest used last.
+/// A node's address and the idle connections to it, the most recently used last.
 pub struct Node {
-    /// Its id.
+    /// The node's id.
     pub id: NodeId,
-    /// Its address.
+    /// The node's address.
     pub addr: SocketAddr,
     idle: Mutex<Vec<(Arc<NodeConnection>, Instant)>>,
     removed: AtomicBool,
 }
 
 impl Node {
-    /// A node that was listed.
+    /// A node that discovery has listed.
     pub fn new(id: NodeId, addr: SocketAddr) -> Node {
         Node { id, addr, idle: Mutex::default(), removed: AtomicBool::new(false) }
     }
-    /// From here on nothing is sent there; what is being connected is dropped.
+    /// Marks the node as removed: nothing is sent to it any more, and connections in progress are dropped.
     pub fn remove(&self) {
         self.removed.store(true, SeqCst);
         locked(&self.idle).clear();
     }
-    /// Drops connections that have stood idle for too long.
+    /// Closes connections that have been idle for too long.
     pub fn sweep(&self, max_idle_time: Duration) {
         locked(&self.idle).retain(|(_, since)| since.elapsed() < max_idle_time);
     }
-    /// Idle connections.
+    /// The number of idle connections.
     pub fn idle(&self) -> usize {
         locked(&self.idle).len()
     }
@@ -78,23 +78,23 @@
 enum AttemptState {
     /// Not written yet.
     Waiting,
-    /// On its way.
+    /// Bound to a connection.
     AttemptHandle(Arc<NodeConnection>),
-    /// Given up by the module.
+    /// Cancelled by the module.
     Cancelled,
-    /// Its time ran out.
-    Late,
-    /// It has its end.
+    /// Timed out.
+    TimedOut,
+    /// Ended.
     Ended,
 }
 
 /// One attempt.
 pub struct Attempt {
-    /// Its request.
+    /// The request to respond to.
     pub request: Arc<PendingRequest>,
-    /// Its number.
+    /// The number of the attempt.
     pub number: u32,
-    /// Its node.
+    /// The node that it is sent to.
     pub node: Arc<Node>,
     /// When the module sent it.
     pub sent_at: Instant,
@@ -107,7 +107,7 @@
 }
 
 impl Attempt {
-    /// One that the module wants.
+    /// An attempt that the module has ordered.
     pub fn new(
         request: Arc<PendingRequest>,
         number: u32,
@@ -130,64 +130,64 @@
         }
     }
 
-    fn abort(&self, why: AttemptState) {
+    fn abort(&self, new_state: AttemptState) {
         let mut state = locked(&self.state);
         match &*state {
-            AttemptState::Ended | AttemptState::Cancelled | AttemptState::Late => return,
+            AttemptState::Ended | AttemptState::Cancelled | AttemptState::TimedOut => return,
             AttemptState::AttemptHandle(connection) => {
-                let _ = connection.stream.shutdown(Shutdown::Both); // it may have ended by itself
+                let _ = connection.stream.shutdown(Shutdown::Both); // it may already be closed
             }
             AttemptState::Waiting => {}
         }
-        *state = why;
+        *state = new_state;
     }
 
-    /// Why it was given up, if it was.
+    /// The outcome of an attempt that was cancelled or timed out.
     fn abort_outcome(&self) -> Option<Outcome> {
         match *locked(&self.state) {
             AttemptState::Cancelled => Some(Outcome::Cancelled),
-            AttemptState::Late if self.written.load(SeqCst) => Some(Outcome::Timeout),
-            AttemptState::Late => Some(Outcome::ConnectFailed), // its last byte was never written
+            AttemptState::TimedOut if self.written.load(SeqCst) => Some(Outcome::Timeout),
+            AttemptState::TimedOut => Some(Outcome::ConnectFailed), // the last byte was never written
             _ => None,
         }
     }
 
-    /// Lets go of a connection on which it was never whole; false where it was given up.
+    /// Releases a connection on which the request was never written completely; false if the attempt was aborted.
     fn unbind(&self) -> bool {
         let mut state = locked(&self.state);
-        let out = matches!(*state, AttemptState::AttemptHandle(_));
-        if out {
+        let in_flight = matches!(*state, AttemptState::AttemptHandle(_));
+        if in_flight {
             *state = AttemptState::Waiting;
         }
-        out
+        in_flight
     }
 
-    /// Binds the attempt to its connection, unless it was given up.
+    /// Binds the attempt to its connection; false if the attempt was aborted.
     fn bind(&self, connection: &Arc<NodeConnection>) -> bool {
         let mut state = locked(&self.state);
-        let waits = matches!(*state, AttemptState::Waiting);
-        if waits {
+        let waiting = matches!(*state, AttemptState::Waiting);
+        if waiting {
             *state = AttemptState::AttemptHandle(connection.clone());
         }
-        waits
+        waiting
     }
 
-    /// The connection is free again; false where it was shut.
+    /// Ends the attempt. True if its connection can be reused, false if it was shut down.
     fn release(&self) -> bool {
         let mut state = locked(&self.state);
-        let free = matches!(*state, AttemptState::AttemptHandle(_));
+        let reusable = matches!(*state, AttemptState::AttemptHandle(_));
         *state = AttemptState::Ended;
-        free
+        reusable
     }
 }
 
 impl AttemptHandle for Attempt {
-    /// What isn't written yet never will be: its connection can't send any more.
+    /// Bytes that are not written yet are never sent: the connection is shut down.
     fn cancel(&self) {
         self.abort(AttemptState::Cancelled);
     }
     fn time_out(&self) {
-        self.abort(AttemptState::Late);
+        self.abort(AttemptState::TimedOut);
     }
     fn is_streaming(&self) -> bool {
         self.streaming.load(SeqCst)
@@ -197,7 +197,7 @@
             AttemptState::Waiting => "waiting",
             AttemptState::AttemptHandle(_) => "out",
             AttemptState::Cancelled => "cancelled",
-            AttemptState::Late => "late",
+            AttemptState::TimedOut => "late",
             AttemptState::Ended => "ended",
         };
         let written = self.written.load(SeqCst);
@@ -207,9 +207,9 @@
     }
 }
 
-/// How kept connections fare by the time that they stood idle, in bands of doubling length: in each the running
-/// share, in thousandths, of those that broke before any answer. Guards against sides that let go of connections
-/// sooner than they say, and say nothing when they do.
+/// Statistics of reused connections by idle time, in bands of doubling length: for each, the moving average share (per
+/// mille) of connections that broke before any response. Guards against nodes and middleboxes that drop idle
+/// connections earlier than announced and without notice.
 #[derive(Default)]
 pub struct ReuseStatistics {
     bands: [AtomicUsize; 8],
@@ -217,35 +217,35 @@
 }
 
 impl ReuseStatistics {
-    /// The end of the first band.
+    /// The upper bound of the first band.
     const FIRST: Duration = Duration::from_millis(50);
 
-    fn update_share(share: &AtomicUsize, broke: bool, of: usize) {
-        let news = if broke { 1000 } else { 0 };
-        // Another thread's update may get lost between: it is an estimate.
-        share.store((share.load(SeqCst) * (of - 1) + news) / of, SeqCst);
+    fn update_share(share: &AtomicUsize, broke: bool, window: usize) {
+        let sample = if broke { 1000 } else { 0 };
+        // A concurrent update may be lost: this is an estimate.
+        share.store((share.load(SeqCst) * (window - 1) + sample) / window, SeqCst);
     }
 
-    /// One was used again.
+    /// Records the reuse of a connection, and whether it broke.
     pub fn record(&self, idle_time: Duration, broke: bool) {
         let band = (0..7).take_while(|&at| idle_time >= ReuseStatistics::FIRST * (1 << at)).count();
         ReuseStatistics::update_share(&self.bands[band], broke, 16);
         ReuseStatistics::update_share(&self.overall, broke, 64);
     }
 
-    /// The share of all.
+    /// The share over all bands.
     pub fn overall(&self) -> usize {
         self.overall.load(SeqCst)
     }
 
-    /// For how long one may have stood: to the first band in which far more break than in the youngest.
+    /// The longest idle time for reuse: up to the first band in which far more connections break than in the youngest.
     pub fn max_idle_time(&self, limits: &Limits) -> Duration {
         let share = |band: usize| self.bands[band].load(SeqCst);
         let stale = |band: &usize| share(*band) > limits.max_stale_per_mille.max(share(0) * 3);
         (1..8).find(stale).map_or(Duration::MAX, |band| ReuseStatistics::FIRST * (1 << (band - 1)))
     }
 
-    /// Forgets a little, so that what is not used any more is tried again some day.
+    /// Decays the shares, so that idle times that are no longer used are tried again eventually.
     pub fn decay(&self) {
         for share in &self.bands {
             let now = share.load(SeqCst);
@@ -254,24 +254,24 @@
     }
 }
 
-/// What the workers share.
+/// The state shared by the worker threads.
 pub struct AttemptExecutor {
-    /// The limits.
+    /// The limits on messages and connections.
     pub limits: Limits,
-    /// The pool.
+    /// The pool for responses.
     pub buffers: BufferPool,
     /// The counters.
     pub counters: Arc<Counters>,
-    /// The way back to the decision thread.
+    /// The input queue of the decision thread.
     pub inputs: Sender<DecisionInput>,
-    open: Arc<AtomicUsize>,
+    open_connections: Arc<AtomicUsize>,
     nodes: Mutex<Vec<Weak<Node>>>,
-    /// How kept connections fare.
-    pub reuse: ReuseStatistics,
+    /// Statistics of reused connections.
+    pub reuse_statistics: ReuseStatistics,
 }
 
 impl AttemptExecutor {
-    /// No worker yet.
+    /// Creates the shared state, without any worker.
     pub fn new(
         limits: &Limits,
         buffers: &BufferPool,
@@ -283,25 +283,25 @@
             buffers: buffers.clone(),
             counters: counters.clone(),
             inputs,
-            open: Arc::default(),
+            open_connections: Arc::default(),
             nodes: Mutex::default(),
-            reuse: ReuseStatistics::default(),
+            reuse_statistics: ReuseStatistics::default(),
         }
     }
 
-    /// Makes a node's idle connections known to those who need room.
+    /// Registers a node, so that its idle connections can be closed to make room.
     pub fn add_node(&self, node: &Arc<Node>) {
         let mut nodes = locked(&self.nodes);
         nodes.retain(|node| node.strong_count() > 0);
         nodes.push(Arc::downgrade(node));
     }
 
-    /// One attempt from beginning to end; it always gets its end, whatever happens in between.
+    /// Runs one attempt; its end is always reported, even after a panic.
     pub fn run(&self, attempt: &Arc<Attempt>) {
-        let done = catch_unwind(AssertUnwindSafe(|| self.exchange(attempt)));
-        let outcome = done.unwrap_or_else(|_| {
+        let result = catch_unwind(AssertUnwindSafe(|| self.send_and_receive(attempt)));
+        let outcome = result.unwrap_or_else(|_| {
             increment(&self.counters.defects);
-            log::error!("a thread of sending panicked");
+            log::error!("a sending thread panicked");
             let written = attempt.written.load(SeqCst);
             if written {
                 Outcome::Reset
@@ -310,27 +310,27 @@
             }
         });
         attempt.release();
-        // Guards against taking a client that reads slowly for a slow node: the answer's time is when it came.
+        // The time at which the response arrived: a client that reads slowly must not make the node look slow.
         let ended_at = attempt.response_at.get().copied().unwrap_or_else(Instant::now);
-        let note = DecisionInput::AttemptEnded {
+        let input = DecisionInput::AttemptEnded {
             id: attempt.request.id.clone(),
             attempt: attempt.number,
             outcome,
             ended_at,
         };
-        let _ = self.inputs.send(note); // it ends only with us
+        let _ = self.inputs.send(input); // the decision thread ends only when the marshal stops
     }
 
-    fn exchange(&self, attempt: &Arc<Attempt>) -> Outcome {
+    fn send_and_receive(&self, attempt: &Arc<Attempt>) -> Outcome {
         let left = attempt.deadline.saturating_duration_since(Instant::now());
         match attempt.abort_outcome() {
             Some(Outcome::Cancelled) => return Outcome::Cancelled,
             None if !left.is_zero() && !attempt.node.removed.load(SeqCst) => {}
-            _ => return Outcome::NotSent, // it never began
+            _ => return Outcome::NotSent, // the attempt never began
         }
-        let mut kept = self.limits.max_reuse_attempts;
+        let mut reuses_left = self.limits.max_reuse_attempts;
         let (connection, idle_time) = loop {
-            let idle = if kept > 0 { self.idle(&attempt.node) } else { None };
+            let idle = if reuses_left > 0 { self.take_idle(&attempt.node) } else { None };
             let idle_time = idle.as_ref().map(|(_, idle_time)| *idle_time);
             let connection = match idle {
                 Some((connection, _)) => connection,
@@ -339,7 +339,7 @@
                     Err(outcome) => return attempt.abort_outcome().unwrap_or(outcome),
                 },
             };
-            // The list may have changed, and the module its mind, while the connection came up.
+            // The node may have been removed, or the attempt aborted, while the connection was being made.
             if attempt.node.removed.load(SeqCst) {
                 return Outcome::NotSent;
             }
@@ -350,9 +350,9 @@
             if self.write(attempt, &connection).is_ok() {
                 break (connection, idle_time);
             }
-            // Nothing whole has left: a kept connection that turns out dead is replaced within the attempt. It
-            // tells nothing of the node; a new one that breaks does.
-            kept = kept.saturating_sub(1);
+            // The request was not sent completely: an idle connection that turns out to be dead is replaced within the
+            // attempt. It says nothing about the node; a new connection that breaks does.
+            reuses_left = reuses_left.saturating_sub(1);
             if idle_time.is_none() || !attempt.unbind() {
                 return attempt.abort_outcome().unwrap_or(Outcome::ConnectFailed);
             }
@@ -361,7 +361,7 @@
         let answer = self.read(attempt, &connection, &mut buffer);
         if let Some(idle_time) = idle_time {
             let broke = answer.is_err() && buffer.bytes().is_empty() && attempt.abort_outcome().is_none();
-            self.reuse.record(idle_time, broke);
+            self.reuse_statistics.record(idle_time, broke);
         }
         match answer {
             Ok((outcome, keep)) => {
@@ -383,16 +383,16 @@
         }
     }
 
-    /// Writes the request. Guards against connections that the other side has dropped unseen: where a repeat is not
-    /// allowed, or kept connections turn out dead, its last byte is held until what came before it has had time
-    /// to be refused. What breaks before that byte has never run.
+    /// Writes the request. Guards against connections that the other side has dropped unnoticed: if the request must
+    /// not be repeated, or reused connections turn out to be dead, the last byte is delayed until the bytes before it
+    /// have had time to be rejected. A request that breaks before that byte has never run.
     fn write(&self, attempt: &Attempt, connection: &NodeConnection) -> io::Result<()> {
         let Some(socket) = &attempt.request.origin else { return Err(io::ErrorKind::NotConnected.into()) };
         let (head, body) = socket.message.bytes().split_at(socket.body_at);
         let line = wire::remaining_header_line(attempt.deadline.saturating_duration_since(Instant::now()));
         let end: &[u8] = b"\r\n";
-        let delay_last_byte =
-            attempt.request.at_most_once || self.reuse.overall() > self.limits.max_broken_per_mille;
+        let delay_last_byte = attempt.request.at_most_once
+            || self.reuse_statistics.overall() > self.limits.max_broken_per_mille;
         if delay_last_byte {
             let (end, body, last) = match body.split_last() {
                 Some((last, rest)) => (end, rest, *last),
@@ -411,8 +411,8 @@
         Ok(())
     }
 
-    /// Reads the answer and passes it on if it is the first. The decision thread ends the wait, by shutting
-    /// the connection: a time-out of the socket's own may come an eighth later.
+    /// Reads the response and forwards it if it is the first. The decision thread ends the wait by shutting down the
+    /// connection: a timeout of the socket's own may fire up to an eighth late.
     fn read(
         &self,
         attempt: &Attempt,
@@ -423,19 +423,19 @@
         let mut chunks = ChunkedBody::default();
         let mut interim = 0;
         loop {
-            // The head is read anew with each piece: answers are short and come in one.
+            // The head is parsed again after each read: responses are short and mostly arrive in one piece.
             let bytes = buffer.bytes();
-            let whole = match http::answer(bytes, limits) {
+            let whole = match http::parse_response(bytes, limits) {
                 Err(_) => return Err(Outcome::Reset),
                 Ok(None) => None,
-                // Guards against interim answers without end.
+                // Guards against endless interim responses.
                 Ok(Some(head)) if head.status < 200 && interim >= limits.max_interim_responses => {
                     return Err(Outcome::Reset)
                 }
                 Ok(Some(head)) if head.status < 200 => {
                     interim += 1;
                     let length = head.length;
-                    buffer.remove(0..length); // an interim answer; the real one follows
+                    buffer.remove(0..length); // an interim response; the final one follows
                     continue;
                 }
                 Ok(Some(head)) => {
@@ -451,7 +451,7 @@
                             let whole = after.len() >= size;
                             (std::iter::once(0..size).collect(), whole, after.len() > size)
                         }
-                        // Guards against half an answer: nothing tells one that a break cut short.
+                        // A response without a length cannot be told from a truncated one.
                         Framing::UntilClose => return Err(Outcome::Reset),
                         Framing::Chunked => {
                             let framed = chunks.read(after, limits).map_err(|_| Outcome::Reset)?;
@@ -478,11 +478,11 @@
                 }
                 return Ok((outcome, head.keep && !rest));
             }
-            let room = buffer.spare_capacity();
-            if room.is_empty() {
-                return Err(Outcome::Reset); // longer than an answer may be
+            let spare = buffer.spare_capacity();
+            if spare.is_empty() {
+                return Err(Outcome::Reset); // the response exceeds the size limit
             }
-            match (&connection.stream).read(room) {
+            match (&connection.stream).read(spare) {
                 Ok(0) => return Err(Outcome::Reset),
                 Ok(read) => buffer.advance(read),
                 Err(problem) if problem.kind() == io::ErrorKind::Interrupted => {}
@@ -491,8 +491,8 @@
         }
     }
 
-    /// Passes an answer on as it comes, too long to be held whole. From its first byte on the client has this one
-    /// answer and no other; where it breaks off, the client's connection ends and it can tell.
+    /// Streams a response that is too long to be buffered. From its first byte on the client gets this response and no
+    /// other; if it breaks off, the client's connection is closed so that the client notices.
     fn stream_response(
         &self,
         attempt: &Attempt,
@@ -504,27 +504,39 @@
             return Ok((Outcome::Ok, false));
         }
         attempt.streaming.store(true, SeqCst);
-        let began = *attempt.response_at.get_or_init(Instant::now);
-        let _ = self.inputs.send(DecisionInput::StreamStarted(attempt.request.id.clone(), attempt.number)); // it ends only with us
-                                                                                                            // From here on the verdict is the node's or the client's, whoever ended the wait.
-        let gone = || {
+        let started = *attempt.response_at.get_or_init(Instant::now);
+        let _ = self.inputs.send(DecisionInput::StreamStarted(attempt.request.id.clone(), attempt.number)); // the decision thread ends only when the marshal stops
+                                                                                                            // From here
+                                                                                                            // on the
+                                                                                                            // outcome
+                                                                                                            // is
+                                                                                                            // determined
+                                                                                                            // by the
+                                                                                                            // node or
+                                                                                                            // the
+                                                                                                            // client,
+                                                                                                            // whoever
+                                                                                                            // ended the
+                                                                                                            // wait.
+        let client_gone = || {
             increment(&self.counters.gone);
             Ok((Outcome::Cancelled, false))
         };
         let Some(mut streaming) = StreamedResponse::begin(&attempt.request, head, size) else {
-            return gone();
+            return client_gone();
         };
         if !streaming.write(received) {
-            return gone();
+            return client_gone();
         }
         let mut buffer = self.buffers.take();
         while streaming.remaining() > 0 {
             let read = match (&connection.stream).read(buffer.spare_capacity()) {
                 Ok(read) if read > 0 => read,
                 Err(problem) if problem.kind() == io::ErrorKind::Interrupted => continue,
-                // Its time ran out, and most of it went into a client that reads slowly: nothing is told of the node.
-                _ if attempt.abort_outcome().is_some() && streaming.write_time() > began.elapsed() / 2 => {
-                    return gone()
+                // The attempt timed out while most of the time went into a client that reads slowly: this says nothing
+                // about the node.
+                _ if attempt.abort_outcome().is_some() && streaming.write_time() > started.elapsed() / 2 => {
+                    return client_gone()
                 }
                 _ => {
                     increment(&self.counters.failed);
@@ -534,7 +546,7 @@
             let rest = read > streaming.remaining();
             buffer.advance(read);
             if !streaming.write(buffer.bytes()) {
-                return gone();
+                return client_gone();
             }
             buffer.remove(0..read);
             if streaming.remaining() == 0 {
@@ -546,9 +558,10 @@
         Ok((Outcome::Ok, head.keep && received.len() == size))
     }
 
-    /// An idle connection that is still open, the latest used first; but rather one that has been quiet for a
-    /// moment. Guards against bytes that come right behind an answer: they must not pass for the next one's.
-    fn idle(&self, node: &Node) -> Option<(Arc<NodeConnection>, Duration)> {
+    /// Takes an idle connection that is still open, the most recently used first, but preferably one that has been
+    /// quiet for a moment. Guards against bytes that follow directly after a response: they must not be taken for the
+    /// next response.
+    fn take_idle(&self, node: &Node) -> Option<(Arc<NodeConnection>, Duration)> {
         loop {
             let (connection, since) = {
                 let mut idle = locked(&node.idle);
@@ -557,12 +570,13 @@
                 let at = quiet.or(idle.len().checked_sub(1))?;
                 idle.remove(at)
             };
-            let max_idle_time = self.limits.node_idle_timeout.min(self.reuse.max_idle_time(&self.limits));
+            let max_idle_time =
+                self.limits.node_idle_timeout.min(self.reuse_statistics.max_idle_time(&self.limits));
             if since.elapsed() >= max_idle_time {
                 locked(&node.idle).retain(|(_, since)| since.elapsed() < max_idle_time);
                 return None;
             }
-            // Guards against writing to one that the node has closed: that would end as a reset.
+            // Guards against writing to a connection that the node has closed, which would end as a reset.
             if connection.is_quiet() {
                 return Some((connection, since.elapsed()));
             }
@@ -576,25 +590,25 @@
         }
     }
 
-    /// A new connection; at the limit, the one that has stood idle for longest gives way.
+    /// Makes a new connection; at the limit, the connection that has been idle longest is closed.
     fn connect(&self, node: &Node, left: Duration) -> Result<Arc<NodeConnection>, Outcome> {
-        if self.open.fetch_add(1, SeqCst) >= self.limits.max_node_connections {
+        if self.open_connections.fetch_add(1, SeqCst) >= self.limits.max_node_connections {
             self.make_room();
         }
-        let open = self.open.clone();
-        let made = TcpStream::connect_timeout(&node.addr, left.min(self.limits.connect_timeout));
-        let stream = match made {
+        let open_connections = self.open_connections.clone();
+        let connected = TcpStream::connect_timeout(&node.addr, left.min(self.limits.connect_timeout));
+        let stream = match connected {
             Ok(stream) => stream,
             Err(problem) => {
-                open.fetch_sub(1, SeqCst);
-                log::debug!("connecting to {}: {problem}", node.addr);
-                let ours = matches!(problem.raw_os_error(), Some(23 | 24 | 99)); // no descriptor, no port
-                return Err(if ours { Outcome::NotSent } else { Outcome::ConnectFailed });
+                open_connections.fetch_sub(1, SeqCst);
+                log::debug!("cannot connect to {}: {problem}", node.addr);
+                let local_cause = matches!(problem.raw_os_error(), Some(23 | 24 | 99)); // ENFILE, EMFILE, EADDRNOTAVAIL
+                return Err(if local_cause { Outcome::NotSent } else { Outcome::ConnectFailed });
             }
         };
-        let connection = NodeConnection { stream, open };
-        let set = connection.stream.set_nodelay(true);
-        if set
+        let connection = NodeConnection { stream, open_connections };
+        let configured = connection.stream.set_nodelay(true);
+        if configured
             .and_then(|()| connection.stream.set_write_timeout(Some(self.limits.node_write_timeout)))
             .is_err()
         {
@@ -616,7 +630,7 @@
     }
 }
 
-/// The nodes as listed, each with its pool, and the workers that carry attempts to them.
+/// The listed nodes, each with its connection pool, and the workers that send attempts to them.
 pub struct NodePools {
     executor: Arc<AttemptExecutor>,
     workers: WorkerPool<Arc<Attempt>>,
@@ -624,7 +638,7 @@
 }
 
 impl NodePools {
-    /// No node yet.
+    /// Creates the pools without any node.
     pub fn new(executor: Arc<AttemptExecutor>) -> io::Result<NodePools> {
         let (limits, shared) = (&executor.limits, executor.clone());
         let workers = WorkerPool::new(
@@ -647,7 +661,7 @@
         self.workers.submit(attempt.clone()).is_ok().then_some(attempt)
     }
 
-    /// Connections to a node that leaves, or comes back anew, are dropped.
+    /// Closes the connections to a node that leaves or is restarted.
     fn update_fleet(&mut self, kind: FleetUpdateKind, entries: &[(NodeEntry, SocketAddr)]) {
         if matches!(kind, FleetUpdateKind::Replace | FleetUpdateKind::Restored) {
             let listed: HashSet<&NodeId> = entries.iter().map(|(entry, _)| &entry.node).collect();
@@ -656,22 +670,24 @@
         }
         for (entry, addr) in entries {
             let before = self.nodes.get(&entry.node);
-            let same = before.is_some_and(|(node, b)| {
+            let unchanged = before.is_some_and(|(node, b)| {
                 b.started == entry.started && b.build == entry.build && node.addr == *addr
             });
-            let serves = entry.state == NodeState::InService;
-            let back = before.is_some_and(|(_, before)| before.state != NodeState::InService);
-            if let Some((node, _)) = before.filter(|_| !same || !serves) {
+            let in_service = entry.state == NodeState::InService;
+            let returned_to_service = before.is_some_and(|(_, before)| before.state != NodeState::InService);
+            if let Some((node, _)) = before.filter(|_| !unchanged || !in_service) {
                 node.remove();
             }
             if entry.state == NodeState::Terminated {
                 self.nodes.remove(&entry.node);
                 continue;
             }
-            let kept = before.map(|(node, _)| node.clone()).filter(|_| same && !(serves && back));
+            let kept = before
+                .map(|(node, _)| node.clone())
+                .filter(|_| unchanged && !(in_service && returned_to_service));
             let node = kept.unwrap_or_else(|| {
                 let node = Arc::new(Node::new(entry.node.clone(), *addr));
-                if !serves {
+                if !in_service {
                     node.remove();
                 }
                 self.executor.add_node(&node);
@@ -683,13 +699,14 @@
 
     fn sweep(&mut self) {
         let limits = &self.executor.limits;
-        let max_idle_time = limits.node_idle_timeout.min(self.executor.reuse.max_idle_time(limits));
+        let max_idle_time =
+            limits.node_idle_timeout.min(self.executor.reuse_statistics.max_idle_time(limits));
         self.nodes.values().for_each(|(node, _)| node.sweep(max_idle_time));
-        self.executor.reuse.decay();
+        self.executor.reuse_statistics.decay();
     }
 
     fn report(&self) -> String {
-        let (connections, workers) = (self.executor.open.load(SeqCst), self.workers.threads());
+        let (connections, workers) = (self.executor.open_connections.load(SeqCst), self.workers.threads());
         let idle: usize = self.nodes.values().map(|(node, _)| node.idle()).sum();
         format!("node connections {connections} idle {idle}, workers {workers}")
     }
--- a/crates/marshal/src/server.rs
+++ b/crates/marshal/src/server.rs
@@ -1,4 +1,4 @@
-//! The whole marshal: its threads, its start and its end.
+//! The whole marshal: its threads, startup and shutdown.
 
 use crate::accounting::{Counters, PendingRequest};
 use crate::admit::AdmissionContext;
@@ -30,21 +30,23 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The signs that the program is sent. Taken before a marshal starts, so that none of them ends it unawares.
+/// The signals sent to the process. Registered before a marshal starts, so that none of them terminates the process
+/// unexpectedly.
 pub struct ProcessSignals(Signals);
 
 impl ProcessSignals {
-    /// From here on they are kept for `Server::serve`.
+    /// Registers the signals, which are then kept for `Server::serve`.
     pub fn new() -> io::Result<ProcessSignals> {
         Signals::new([SIGTERM, SIGINT, SIGHUP]).map(ProcessSignals)
     }
 }
 
-/// A group of instances that judge as one, which a marshal is to join as it starts.
+/// A group of instances that decide as one, which a marshal joins as it starts.
 pub trait GroupJoiner: Send {
-    /// What the module must know of it.
+    /// Adjusts the module's settings.
     fn settings(&self, decisions: &mut Settings);
-    /// Joins. Gives who takes the module's votes, in place of the platform's connection, and who else is told.
+    /// Joins the group. Returns the sender for the module's votes, in place of the platform's connection, and the
+    /// observer of the module's decisions.
     fn join(
         self: Box<Self>,
         decisions: &Settings,
@@ -54,11 +56,12 @@
     ) -> io::Result<(Box<dyn VoteSender>, Box<dyn GroupObserver>)>;
 }
 
-/// A gate that permits editions, which a marshal is to follow as it starts.
+/// A gate that permits editions, which a marshal follows from its start.
 pub trait ReleaseGate: Send {
-    /// What the module must know of it.
+    /// Adjusts the module's settings.
     fn settings(&self, decisions: &mut Settings);
-    /// Begins to tell tables, the first one before this returns. Zones and tenants stand by the settings' names.
+    /// Starts to send permit tables, the first before this returns. Zones and tenants are identified by their index in
+    /// the settings' names.
     fn join(
         self: Box<Self>,
         zones: &[String],
@@ -67,32 +70,33 @@
     ) -> io::Result<Box<dyn RolloutObserver>>;
 }
 
-/// A further front: whoever asks there is answered by the same module and book, and carries the attempts itself.
+/// A further front end: its requests are decided by the same module and counted by the same counters, and it sends the
+/// attempts itself.
 pub trait FrontEnd: Send {
-    /// What the module must know of it.
+    /// Adjusts the module's settings.
     fn settings(&self, decisions: &mut Settings);
-    /// Begins to take requests. Gives who is told of attempts and answers for them.
+    /// Starts to accept requests. Returns the components that send its attempts and its responses.
     fn start(
         self: Box<Self>,
-        around: FrontEndContext,
+        context: FrontEndContext,
     ) -> io::Result<(Box<dyn AttemptSender>, Box<dyn ResponseSender>)>;
 }
 
-/// What a further front works with.
+/// The configuration and components that a further front end works with.
 pub struct FrontEndContext {
-    /// The settings.
+    /// The module's settings.
     pub settings: Settings,
-    /// Their names.
+    /// The names that the settings refer to.
     pub names: Names,
-    /// The clock that the module goes by.
+    /// The clock that the module's times refer to.
     pub clock: Clock,
     /// The counters.
     pub counters: Arc<Counters>,
-    /// The way to the decision thread.
+    /// The input queue of the decision thread.
     pub inputs: Sender<DecisionInput>,
 }
 
-/// Two fronts on one decision thread: requests on sockets of ours, and those that another proxy carries.
+/// Two front ends on one decision thread: requests on the marshal's own sockets, and those that another proxy carries.
 struct CombinedFrontEnds<T, U: ?Sized> {
     own: T,
     external: Option<Box<U>>,
@@ -128,20 +132,20 @@
     }
 }
 
-/// What a marshal joins as it starts, where its operators want that.
+/// The optional components that a marshal starts with.
 #[derive(Default)]
 pub struct Extensions {
-    /// A group of instances that judge as one.
+    /// A group of instances that decide as one.
     pub group: Option<Box<dyn GroupJoiner>>,
     /// A gate that permits editions.
     pub gate: Option<Box<dyn ReleaseGate>>,
-    /// A further front.
+    /// A further front end.
     pub front: Option<Box<dyn FrontEnd>>,
 }
 
-/// A marshal that runs.
+/// A running marshal.
 pub struct Server {
-    /// Where it listens.
+    /// The address that it listens on.
     pub listen: SocketAddr,
     intake: Arc<Intake>,
     reload: Reloader,
@@ -149,27 +153,27 @@
     platform: Arc<Endpoint>,
     inputs: Sender<DecisionInput>,
     limits: Limits,
-    /// Kept so that discovery's thread ends with the marshal.
-    _asks: Sender<DiscoveryRequest>,
+    /// Held so that discovery's thread ends with the marshal.
+    _discovery_requests: Sender<DiscoveryRequest>,
 }
 
-fn start(name: &str, stack: usize, work: impl FnOnce() + Send + 'static) -> io::Result<()> {
+fn spawn_thread(name: &str, stack: usize, work: impl FnOnce() + Send + 'static) -> io::Result<()> {
     std::thread::Builder::new().name(name.into()).stack_size(stack).spawn(work).map(drop)
 }
 
 impl Server {
-    /// Starts a marshal under the limits that its grant and settings give.
+    /// Starts a marshal with the limits that follow from its grant and settings.
     pub fn start(config: Config) -> io::Result<Server> {
         let limits = Limits::new(config.grant, &config.transport);
         Server::start_with(config, limits)
     }
 
-    /// Starts a marshal under limits of the caller's own.
+    /// Starts a marshal with the caller's own limits.
     pub fn start_with(config: Config, limits: Limits) -> io::Result<Server> {
         Server::start_with_extensions(config, limits, Extensions::default())
     }
 
-    /// Starts a marshal that joins what its operators want.
+    /// Starts a marshal with the caller's own limits and with extensions.
     pub fn start_with_extensions(
         mut config: Config,
         limits: Limits,
@@ -185,7 +189,7 @@
         let counters = Arc::new(Counters::default());
         let (inputs, inbox) = bounded(limits.decision_queue_capacity);
         let (ballots, votes) = bounded(limits.vote_queue_capacity);
-        let (asks, asked) = bounded(limits.vote_queue_capacity);
+        let (requests, discovery_requests) = bounded(limits.vote_queue_capacity);
         let stopping = Arc::new(AtomicBool::new(false));
 
         let senders = Arc::new(AttemptExecutor::new(&limits, &buffers, &counters, inputs.clone()));
@@ -194,17 +198,17 @@
 
         let discovery = Arc::new(Endpoint::new(config.discovery));
         let platform = Arc::new(Endpoint::new(config.platform));
-        let (casts, group): (Box<dyn VoteSender>, Option<Box<dyn GroupObserver>>) = match group {
+        let (vote_sender, group): (Box<dyn VoteSender>, Option<Box<dyn GroupObserver>>) = match group {
             None => (Box::new(ballots), None),
             Some(group) => {
-                let (casts, told) =
+                let (vote_sender, observer) =
                     group.join(&config.settings, inputs.clone(), ballots, platform.clone())?;
-                (casts, Some(told))
+                (vote_sender, Some(observer))
             }
         };
         let gate = gate.map(|gate| gate.join(&config.names.zones, &config.names.tenants, inputs.clone()));
         let mut names = config.names.clone();
-        let (known, _) = discovery::entries(&config.known, &mut names); // what can be read; the rest is asked for
+        let (known, _) = discovery::entries(&config.known, &mut names); // the valid entries; discovery supplies the rest
         let clock = Clock::default();
         let front = front.map(|front| {
             let (settings, names) = (config.settings.clone(), config.names.clone());
@@ -225,33 +229,35 @@
             counters: counters.clone(),
             attempt_sender: Box::new(CombinedFrontEnds { own: pools, external: carrier }),
             responses: Box::new(CombinedFrontEnds { own: relays, external: answers }),
-            vote_sender: casts,
-            discovery: Box::new(asks.clone()),
+            vote_sender,
+            discovery: Box::new(requests.clone()),
             group,
             rollout_observer: gate.transpose()?,
         };
-        let (signal, began) = bounded(1);
-        let news = config.news.clone();
-        start("route", limits.decision_stack_bytes, move || {
-            let route = DecisionThread::new(tools, known, news);
-            let _ = signal.send(()); // the starter waits for it
-            route.run(&inbox);
+        let (ready, started) = bounded(1);
+        let initial_stage = config.initial_stage.clone();
+        spawn_thread("route", limits.decision_stack_bytes, move || {
+            let thread = DecisionThread::new(tools, known, initial_stage);
+            let _ = ready.send(()); // the starting thread waits for it
+            thread.run(&inbox);
         })?;
-        let _ = began.recv(); // the module holds the list and the news before any request
+        let _ = started.recv(); // the module has the node list and the stage before any request
 
         let reload = Reloader::new(&config, &discovery, &platform);
         let reader = Arc::new(Platform::new(&platform, &limits, &config.names, inputs.clone()));
         let writer = reader.clone();
-        start("platform-read", limits.thread_stack_bytes, move || reader.read())?;
-        start("platform-write", limits.thread_stack_bytes, move || writer.write(&votes))?;
+        spawn_thread("platform-read", limits.thread_stack_bytes, move || reader.read())?;
+        spawn_thread("platform-write", limits.thread_stack_bytes, move || writer.write(&votes))?;
         let watch = DiscoveryWatch {
             client: DiscoveryClient::new(&discovery, &limits),
             names,
             version: config.known.version,
             on_request: config.settings.subscribe_to_discovery,
         };
-        let told = inputs.clone();
-        start("discovery", limits.thread_stack_bytes, move || watch.run(&asked, &told))?;
+        let discovery_inputs = inputs.clone();
+        spawn_thread("discovery", limits.thread_stack_bytes, move || {
+            watch.run(&discovery_requests, &discovery_inputs)
+        })?;
 
         let gate = AdmissionContext {
             settings: config.settings,
@@ -270,14 +276,29 @@
             evicting: AtomicBool::new(false),
         });
         let shared = intake.clone();
-        let most = limits.max_clients + limits.max_excess_clients;
-        let workers = WorkerPool::new("client", limits.pool_options(most, most), move |(number, client)| {
-            intake::serve_connection(&shared, number, &client);
-        })?;
+        let max_threads = limits.max_clients + limits.max_excess_clients;
+        let workers = WorkerPool::new(
+            "client",
+            limits.pool_options(max_threads, max_threads),
+            move |(number, client)| {
+                intake::serve_connection(&shared, number, &client);
+            },
+        )?;
         let shared = intake.clone();
-        start("accept", limits.thread_stack_bytes, move || intake::accept(&shared, &listener, &workers))?;
+        spawn_thread("accept", limits.thread_stack_bytes, move || {
+            intake::accept(&shared, &listener, &workers)
+        })?;
         log::info!("{} listens at {listen}", config.name);
-        Ok(Server { listen, intake, reload, discovery, platform, inputs, limits, _asks: asks })
+        Ok(Server {
+            listen,
+            intake,
+            reload,
+            discovery,
+            platform,
+            inputs,
+            limits,
+            _discovery_requests: requests,
+        })
     }
 
     /// The counters.
@@ -285,25 +306,26 @@
         &self.intake.counters
     }
 
-    /// Connections of clients.
+    /// The number of client connections.
     pub fn clients(&self) -> usize {
         self.intake.clients.len()
     }
 
-    /// Ends the marshal: no more readiness at once; new connections for the stated time; each further answer
-    /// closes its connection; then what is held is finished. True if all of it was.
+    /// Stops the marshal: it reports not ready at once, accepts new connections for the configured time, closes each
+    /// connection with its next response, and then completes the requests in progress. True if all of them were
+    /// completed.
     pub fn stop(self) -> bool {
         self.intake.stopping.store(true, SeqCst);
         std::thread::sleep(self.limits.stop_accept_period);
         self.intake.accepting_closed.store(true, SeqCst);
-        drop(TcpStream::connect_timeout(&self.listen, Duration::from_millis(100))); // wakes the one who accepts
+        drop(TcpStream::connect_timeout(&self.listen, Duration::from_millis(100))); // wakes the accepting thread
         self.intake.clients.shutdown_idle();
         let until = Instant::now() + self.limits.finish_timeout;
         while self.intake.clients.busy() > 0 && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(5));
             self.intake.clients.shutdown_idle();
         }
-        // Those that were told of the end by a close may still take what was written.
+        // Clients whose connection was closed may still read what was written.
         let until = Instant::now() + self.limits.linger_timeout;
         while !self.intake.clients.is_empty() && Instant::now() < until {
             std::thread::sleep(Duration::from_millis(5));
@@ -311,25 +333,29 @@
         let finished = self.intake.clients.busy() == 0;
         self.platform.close();
         self.discovery.close();
-        let _ = self.inputs.send(DecisionInput::Stop); // it may have ended before
+        let _ = self.inputs.send(DecisionInput::Stop); // the decision thread may already have ended
         log::info!("stopped: {}", self.intake.counters);
         finished
     }
 
-    /// Takes on what may change while it runs, from a configuration read anew.
+    /// Applies the changeable part of a configuration that was read again.
     pub fn reload(&self, read: Result<Config, String>) {
         self.reload.apply(read);
     }
 
-    /// Serves until the sign to stop, then ends the marshal; at a hang-up the configuration is read again. One that
-    /// comes while it stops is heard by nobody, and ends nothing.
-    pub fn serve(self, mut signals: ProcessSignals, again: impl Fn() -> Result<Config, String>) -> bool {
+    /// Serves until a signal to stop, then stops the marshal; at SIGHUP the configuration is read again. A signal
+    /// during the shutdown is ignored.
+    pub fn serve(
+        self,
+        mut signals: ProcessSignals,
+        reread_config: impl Fn() -> Result<Config, String>,
+    ) -> bool {
         for signal in signals.0.forever() {
             if signal != SIGHUP {
                 log::info!("signal {signal}");
                 break;
             }
-            self.reload(again());
+            self.reload(reread_config());
         }
         self.stop()
     }
--- a/crates/marshal/src/wire.rs
+++ b/crates/marshal/src/wire.rs
@@ -1,34 +1,34 @@
-//! The users' names and forms on the sockets. Another site's names would change this file alone.
+//! The names and formats that the site uses on its sockets. Another site's names would change only this file.
 
 use milletwing_decision::interface::{Ms, NodeState, Outcome, Phase, StageReport, Vote};
 use std::time::Duration;
 
-/// A request's id.
+/// Header with the id of a request.
 pub const REQUEST_ID_HEADER: &str = "X-Txn";
-/// Its class.
+/// Header with its class.
 pub const CLASS_HEADER: &str = "X-Lane";
-/// Its tenant.
+/// Header with its tenant.
 pub const TENANT_HEADER: &str = "X-Org";
-/// The cookie that tells what it is about.
+/// The cookie with the key that the request is about.
 pub const KEY_COOKIE: &str = "user";
-/// How long its sender waits.
+/// Header with the time that its sender still waits.
 pub const REMAINING_HEADER: &str = "X-Remaining";
-/// Marks a client's repetition.
+/// Header that marks a client's retry.
 pub const RETRY_HEADER: &str = "X-Resent";
-/// Further figures.
+/// Header with further labels.
 pub const LABELS_HEADER: &str = "X-Labels";
-/// Among them: the anticipated work, named as on the simulator's wire.
+/// The label with the expected processing time, named as in the simulator's protocol.
 pub const WORK_HINT_LABEL: &str = "size-hint-ms";
-/// A node's word that the request was turned away unseen.
+/// Header with which a node states that it rejected the request without running it.
 pub const TURNED_AWAY_HEADER: &str = "X-Turned-Away";
-/// Where the front asks whether we serve.
+/// Path of the readiness check.
 pub const READINESS_PATH: &str = "/up";
-/// Discovery's list.
+/// Path of discovery's node list.
 pub const NODE_LIST_PATH: &str = "/discovery/hosts";
-/// The query of a watch: the version held, and the wait in milliseconds.
+/// The query parameters of a watch: the version held, and the waiting time in milliseconds.
 pub const WATCH_PARAMETERS: [&str; 2] = ["index", "wait"];
 
-/// A time as `X-Remaining` words it.
+/// Parses the value of `X-Remaining`.
 pub fn parse_remaining(text: &str) -> Option<Duration> {
     let (number, unit) = text.trim().split_at_checked(text.trim().len().checked_sub(1)?)?;
     let per_ms = match unit {
@@ -43,28 +43,28 @@
     (ms.is_finite() && ms <= 86_400_000.0).then(|| Duration::from_secs_f64(ms / 1000.0))
 }
 
-/// The line that tells a node how long we wait.
+/// The header line with the remaining time, for a node.
 pub fn remaining_header_line(left: Duration) -> String {
     format!("{REMAINING_HEADER}: {}u\r\n", left.as_micros())
 }
 
-/// A cookie's value.
+/// The value of a cookie.
 pub fn cookie<'a>(header: &'a str, name: &str) -> Option<&'a str> {
     header.split(';').find_map(|pair| pair.trim().strip_prefix(name)?.strip_prefix('='))
 }
 
-/// A label's value.
+/// The numeric value of a label.
 pub fn label(header: &str, name: &str) -> Option<f64> {
     let pair = header.split(',').find_map(|pair| pair.trim().strip_prefix(name)?.strip_prefix('='));
     pair?.parse::<f64>().ok().filter(|value| value.is_finite())
 }
 
-/// How a time to come back is told.
+/// The `Retry-After` header line.
 pub fn retry_after(wait: Ms) -> String {
     format!("Retry-After: {:.3}\r\n", wait.0.max(0.0) / 1000.0)
 }
 
-/// Discovery's word for a state.
+/// Parses discovery's name of a node's state.
 pub fn node_state(word: &str) -> Option<NodeState> {
     match word {
         "active" => Some(NodeState::InService),
@@ -74,7 +74,7 @@
     }
 }
 
-/// The platform's word for a phase.
+/// Parses the platform's name of a phase.
 pub fn phase(word: &str) -> Option<Phase> {
     match word {
         "testing" => Some(Phase::Trial),
@@ -85,10 +85,10 @@
     }
 }
 
-/// The call that asks the platform to tell.
+/// The command that subscribes to the platform's notifications.
 pub const SUBSCRIBE_COMMAND: &str = "SUB\r\n";
 
-/// The call that casts a vote.
+/// The command that casts a vote.
 pub fn vote_command(build: u32, stage: u32, vote: Vote) -> String {
     let word = match vote {
         Vote::None => "abstain",
@@ -99,22 +99,22 @@
     format!("SAY {build} {stage} {word}\r\n")
 }
 
-/// A line of the platform.
+/// A line received from the platform.
 #[derive(Debug, PartialEq)]
 pub enum PlatformLine {
-    /// A sign of life.
+    /// A keep-alive.
     KeepAlive,
-    /// `OK`, perhaps with the state that follows it.
+    /// `OK`, optionally followed by the stage.
     Ok(Option<[f64; 4]>, Option<Phase>),
-    /// `ERR` and what it means for a vote.
+    /// `ERR`, as the outcome of the vote.
     Refused(Outcome),
-    /// `* stage`.
+    /// `* stage`: build, stage, cap and age, and the phase.
     Stage([f64; 4], Phase),
-    /// `* tally`: build, class, attempts, failed, mean time, age.
+    /// `* tally`: build, class, and attempts, failures, mean latency and age.
     Tally(u32, String, [f64; 4]),
-    /// `* flag`: node, class, age.
+    /// `* flag`: node, class and age.
     WrongAnswer(String, String, f64),
-    /// A line that begins with `*` and goes on with a word that this version doesn't know.
+    /// A line that begins with `*` and a word that this version does not know.
     UnknownNotification,
     /// Anything else.
     Malformed,
@@ -160,20 +160,20 @@
             let [age] = numbers::<1>(&[age])?;
             PlatformLine::WrongAnswer((*node).to_string(), (*class).to_string(), age)
         }
-        // Words that this version knows, with fields that can't be read, or no words at all: spoilt.
+        // A word that this version knows with fields that cannot be parsed, or no valid word: malformed.
         ["*", "tally" | "flag", ..] => return None,
         ["*", word, ..] if word.bytes().all(|b| b.is_ascii_lowercase()) => PlatformLine::UnknownNotification,
         _ => return None,
     })
 }
 
-/// Reads a line of the platform, without its end.
+/// Parses a line from the platform, without its line end.
 pub fn parse_platform_line(text: &str) -> PlatformLine {
     let words: Vec<&str> = text.split(' ').filter(|word| !word.is_empty()).collect();
     parse_words(&words).unwrap_or(PlatformLine::Malformed)
 }
 
-/// The platform's state of the newest build as the module takes it.
+/// Converts the platform's stage of the newest build to the module's report.
 pub fn stage_report([build, stage, cap, age]: [f64; 4], phase: Phase, answers_vote: bool) -> StageReport {
     use milletwing_decision::interface::Build;
     let (build, stage) = (Build(build as u32), stage as u32);
--- a/crates/marshal/tests/guard.rs
+++ b/crates/marshal/tests/guard.rs
@@ -1,4 +1,5 @@
-//! A call whose guard falls is never finished: whoever leads no more says nothing to the platform.
+//! A vote whose guard no longer holds is never sent completely: an instance that has lost leadership sends nothing to
+//! the platform.
 
 use crossbeam_channel::bounded;
 use milletwing_decision::interface::{Build, Ms, Outcome, Vote};
@@ -12,10 +13,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Holds for so many looks.
-struct Falls(AtomicUsize);
+/// Holds for a number of checks.
+struct HoldsForChecks(AtomicUsize);
 
-impl Guard for Falls {
+impl Guard for HoldsForChecks {
     fn holds(&self) -> bool {
         self.0.fetch_update(SeqCst, SeqCst, |left| left.checked_sub(1)).is_ok()
     }
@@ -31,41 +32,43 @@
         late_answer_grace: Ms(20.0),
     };
     let limits = Limits::new(Grant { memory_mb: 192, sockets: 1024 }, &transport);
-    let (notes, told) = bounded(100);
+    let (inputs, inputs_received) = bounded(100);
     let endpoint = Arc::new(Endpoint::new(toy.addr));
-    let platform = Arc::new(Platform::new(&endpoint, &limits, &Names::default(), notes));
-    let (send, ballots) = bounded(8);
+    let platform = Arc::new(Platform::new(&endpoint, &limits, &Names::default(), inputs));
+    let (votes_sender, votes) = bounded(8);
     let (reader, writer) = (platform.clone(), platform);
     std::thread::spawn(move || reader.read());
-    std::thread::spawn(move || writer.write(&ballots));
-    // The toy takes a line cut short, as some would: what must not have come is the word.
-    let whole = |toy: &Toy| toy.said().iter().filter(|call| call.contains("promote")).count();
+    std::thread::spawn(move || writer.write(&votes));
+    // The toy platform accepts truncated lines, as some implementations would: what must not arrive is the vote's word.
+    let complete_lines = |toy: &Toy| toy.said().iter().filter(|call| call.contains("promote")).count();
     let mut number = 0;
-    let mut cast = |looks: Option<usize>| {
+    let mut cast_vote = |checks: Option<usize>| {
         let subscribed = toy.subscribed();
         number += 1;
-        let guard = looks.map(|looks| -> Arc<dyn Guard> { Arc::new(Falls(looks.into())) });
-        send.send(VoteRequest { number, build: Build(2), stage: 0, vote: Vote::Advance, guard }).unwrap();
+        let guard = checks.map(|checks| -> Arc<dyn Guard> { Arc::new(HoldsForChecks(checks.into())) });
+        votes_sender
+            .send(VoteRequest { number, build: Build(2), stage: 0, vote: Vote::Advance, guard })
+            .unwrap();
         let end = loop {
-            match told.recv_timeout(Duration::from_secs(20)).expect("an end") {
+            match inputs_received.recv_timeout(Duration::from_secs(20)).expect("the vote is answered") {
                 DecisionInput::VoteAnswered(of, end) if of == number => break end,
                 _ => {}
             }
         };
-        (end.map(|news| news.build), whole(&toy), subscribed)
+        (end.map(|report| report.build), complete_lines(&toy), subscribed)
     };
     while toy.subscribed() == 0 {
         std::thread::sleep(Duration::from_millis(2));
     }
-    // Not begun; begun and not finished, on a connection that is dropped; whole.
-    assert_eq!(cast(Some(0)), (Err(Outcome::NotSent), 0, 1));
-    let (end, said, before) = cast(Some(1));
+    // The guard fails before the line; fails within the line, so that the connection is dropped; holds to the end.
+    assert_eq!(cast_vote(Some(0)), (Err(Outcome::NotSent), 0, 1));
+    let (end, lines, subscribed_before) = cast_vote(Some(1));
     assert!(matches!(end, Err(Outcome::ConnectFailed | Outcome::Timeout)), "{end:?}");
-    while toy.subscribed() == before {
+    while toy.subscribed() == subscribed_before {
         std::thread::sleep(Duration::from_millis(2));
     }
-    assert_eq!((said, whole(&toy)), (0, 0), "half a line was heard");
-    assert_eq!(cast(Some(2)), (Ok(Build(2)), 1, 2));
-    assert_eq!(cast(None), (Ok(Build(2)), 2, 2));
+    assert_eq!((lines, complete_lines(&toy)), (0, 0), "a truncated line was accepted");
+    assert_eq!(cast_vote(Some(2)), (Ok(Build(2)), 1, 2));
+    assert_eq!(cast_vote(None), (Ok(Build(2)), 2, 2));
     endpoint.close();
 }
--- a/crates/marshal/tests/panics.rs
+++ b/crates/marshal/tests/panics.rs
@@ -1,4 +1,5 @@
-//! A module that panics loses no request: what is open fails, and a new one goes on with the list as last told.
+//! If the module panics, no request is lost: pending requests fail, and a new module continues with the latest node
+//! list.
 
 use crossbeam_channel::bounded;
 use milletwing_decision::interface::{ClassId, FleetUpdateKind, Ms, NodeEntry, NodeId, RequestId};
@@ -20,25 +21,25 @@
 const EXAMPLE: &str = include_str!("../../../examples/marshal.json");
 
 #[test]
-fn a_module_that_panics_loses_no_request_and_the_next_one_serves() {
+fn a_module_panic_loses_no_request_and_the_restarted_module_serves() {
     let config = Config::read(EXAMPLE, |_| None).unwrap();
     let limits = Limits::new(config.grant, &config.transport);
     let buffers = BufferPool::new(limits.buffer_bytes, limits.max_pooled_buffers);
     let counters = Arc::new(Counters::default());
-    let (notes, inbox) = bounded(limits.decision_queue_capacity);
-    let ((ballots, _votes), (asks, _asked)) = (bounded(8), bounded(8));
-    let relays = ResponseWriters::new(&limits).unwrap();
-    let senders = Arc::new(AttemptExecutor::new(&limits, &buffers, &counters, notes.clone()));
-    let tools = DecisionContext {
+    let (inputs, input_queue) = bounded(limits.decision_queue_capacity);
+    let ((votes, _vote_queue), (requests, _request_queue)) = (bounded(8), bounded(8));
+    let writers = ResponseWriters::new(&limits).unwrap();
+    let executor = Arc::new(AttemptExecutor::new(&limits, &buffers, &counters, inputs.clone()));
+    let context = DecisionContext {
         settings: config.settings,
         seed: 1,
         limits: limits.clone(),
         clock: Clock::default(),
         counters: counters.clone(),
-        attempt_sender: Box::new(NodePools::new(senders).unwrap()),
-        responses: Box::new(relays),
-        vote_sender: Box::new(ballots),
-        discovery: Box::new(asks),
+        attempt_sender: Box::new(NodePools::new(executor).unwrap()),
+        responses: Box::new(writers),
+        vote_sender: Box::new(votes),
+        discovery: Box::new(requests),
         group: None,
         rollout_observer: None,
     };
@@ -48,36 +49,37 @@
     })
     .unwrap();
     let entry = NodeEntry { node: NodeId("n".into()), ..NodeEntry::default() };
-    let route = DecisionThread::new(tools, vec![(entry.clone(), node.addr)], config.news);
-    let thread = std::thread::spawn(move || route.run(&inbox));
-    notes.send(DecisionInput::FleetUpdate(FleetUpdateKind::Replace, vec![(entry, node.addr)])).unwrap();
+    let decision_thread =
+        DecisionThread::new(context, vec![(entry.clone(), node.addr)], config.initial_stage);
+    let thread = std::thread::spawn(move || decision_thread.run(&input_queue));
+    inputs.send(DecisionInput::FleetUpdate(FleetUpdateKind::Replace, vec![(entry, node.addr)])).unwrap();
 
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    // The class decides: one that the settings don't have is what makes the module panic here.
-    let ask = |id: &str, class: usize| {
+    // A class that the settings do not have makes the module panic here.
+    let send_request = |id: &str, class: usize| {
         let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
         let client = Arc::new(Client::new(listener.accept().unwrap().0, Arc::default()));
         let mut message = buffers.take();
         assert!(message.append(format!("GET /api HTTP/1.1\r\nX-Txn: {id}\r\n").as_bytes()));
         let (at, deadline) = (message.bytes().len(), Instant::now() + Duration::from_secs(60));
-        let open = Arc::new(PendingRequest::new(RequestId(id.into()), client, message, at, deadline));
+        let request = Arc::new(PendingRequest::new(RequestId(id.into()), client, message, at, deadline));
         let (class, work_hint) = (ClassId(class), None::<Ms>);
         let admitted =
-            AdmittedRequest { request: open, class, key: None, tenant: None, work_hint, is_retry: false };
-        notes.send(DecisionInput::RequestAdmitted(Box::new(admitted))).unwrap();
+            AdmittedRequest { request, class, key: None, tenant: None, work_hint, is_retry: false };
+        inputs.send(DecisionInput::RequestAdmitted(Box::new(admitted))).unwrap();
         stream
     };
     let status =
         |stream: &TcpStream| read_message(stream, &mut Vec::new()).unwrap().unwrap().word(1).to_string();
-    let held = ask("held", 2);
+    let held = send_request("held", 2);
     while node.asked().is_empty() {
         std::thread::sleep(Duration::from_millis(2));
     }
-    let fatal = ask("fatal", 99);
+    let fatal = send_request("fatal", 99);
     assert_eq!((status(&held).as_str(), status(&fatal).as_str()), ("502", "502"));
-    assert_eq!(status(&ask("next", 0)), "200");
+    assert_eq!(status(&send_request("next", 0)), "200");
     assert!(format!("{counters}").contains("defects 1"), "{counters}");
-    notes.send(DecisionInput::Stop).unwrap();
+    inputs.send(DecisionInput::Stop).unwrap();
     thread.join().unwrap();
 }
--- a/crates/marshal/tests/sending.rs
+++ b/crates/marshal/tests/sending.rs
@@ -1,5 +1,5 @@
-//! One attempt at a time, without a decision thread: its end follows the protocol's table, and what was given up
-//! is never written.
+//! Single attempts, without a decision thread: the outcomes follow the protocol's table, and nothing is written for an
+//! aborted attempt.
 
 use crossbeam_channel::{bounded, Receiver};
 use milletwing_decision::interface::{Ms, NodeId, Outcome, RequestId};
@@ -17,13 +17,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-struct Line {
-    senders: WorkerPool<Arc<Attempt>>,
+struct Harness {
+    workers: WorkerPool<Arc<Attempt>>,
     buffers: BufferPool,
-    notes: Receiver<DecisionInput>,
-    /// The client's side of the connection that answers go to.
+    inputs: Receiver<DecisionInput>,
+    /// The client's side of the connection that responses are written to.
     client: TcpStream,
-    served: Arc<Client>,
+    server_side: Arc<Client>,
 }
 
 fn limits() -> Limits {
@@ -35,39 +35,42 @@
     Limits::new(Grant { memory_mb: 192, sockets: 1024 }, &transport)
 }
 
-fn line() -> Line {
+fn harness() -> Harness {
     let limits = limits();
     let buffers = BufferPool::new(limits.buffer_bytes, limits.max_pooled_buffers);
-    let (send, notes) = bounded(100);
-    let senders = AttemptExecutor::new(&limits, &buffers, &Arc::new(Counters::default()), send);
-    let senders =
-        WorkerPool::new("send", limits.pool_options(4, 4), move |it: Arc<Attempt>| senders.run(&it)).unwrap();
+    let (inputs_sender, inputs) = bounded(100);
+    let executor = AttemptExecutor::new(&limits, &buffers, &Arc::new(Counters::default()), inputs_sender);
+    let workers = WorkerPool::new("send", limits.pool_options(4, 4), move |attempt: Arc<Attempt>| {
+        executor.run(&attempt)
+    })
+    .unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let served = Arc::new(Client::new(listener.accept().unwrap().0, Arc::default()));
-    Line { senders, buffers, notes, client, served }
+    let server_side = Arc::new(Client::new(listener.accept().unwrap().0, Arc::default()));
+    Harness { workers, buffers, inputs, client, server_side }
 }
 
-impl Line {
+impl Harness {
     fn attempt(&self, node: &Arc<Node>, wait: u64) -> Arc<Attempt> {
         let mut message = self.buffers.take();
         assert!(message.append(b"GET /api HTTP/1.1\r\nX-Txn: a\r\n"));
         let (now, wait) = (Instant::now(), Duration::from_millis(wait));
         let at = message.bytes().len();
-        let open = PendingRequest::new(RequestId("a".into()), self.served.clone(), message, at, now + wait);
-        Arc::new(Attempt::new(Arc::new(open), 0, node.clone(), now, now + wait))
+        let request =
+            PendingRequest::new(RequestId("a".into()), self.server_side.clone(), message, at, now + wait);
+        Arc::new(Attempt::new(Arc::new(request), 0, node.clone(), now, now + wait))
     }
-    fn end(&self) -> Outcome {
-        match self.notes.recv_timeout(Duration::from_secs(20)) {
+    fn wait_for_outcome(&self) -> Outcome {
+        match self.inputs.recv_timeout(Duration::from_secs(20)) {
             Ok(DecisionInput::AttemptEnded { outcome, .. }) => outcome,
-            _ => panic!("no end"),
+            _ => panic!("the attempt did not end"),
         }
     }
-    /// Hands it over and tells how it ended, once.
+    /// Runs an attempt and returns its outcome, checking that it ends once.
     fn run(&self, attempt: &Arc<Attempt>) -> Outcome {
-        assert!(self.senders.submit(attempt.clone()).is_ok());
-        let outcome = self.end();
-        assert!(self.notes.is_empty());
+        assert!(self.workers.submit(attempt.clone()).is_ok());
+        let outcome = self.wait_for_outcome();
+        assert!(self.inputs.is_empty());
         outcome
     }
 }
@@ -83,8 +86,8 @@
 }
 
 #[test]
-fn each_end_follows_the_table() {
-    let line = line();
+fn each_outcome_follows_the_protocol_table() {
+    let harness = harness();
     let cases: [(fn() -> Reply, Outcome); 7] = [
         (|| Reply::Answer(200, b"x".to_vec()), Outcome::Ok),
         (|| Reply::Answer(500, Vec::new()), Outcome::Error),
@@ -96,47 +99,47 @@
     ];
     for (reply, outcome) in cases {
         let (toy, node) = toy(reply);
-        assert_eq!(line.run(&line.attempt(&node, 20_000)), outcome);
+        assert_eq!(harness.run(&harness.attempt(&node, 20_000)), outcome);
         assert_eq!(toy.asked().len(), 1);
     }
     let nowhere = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    assert_eq!(line.run(&line.attempt(&node(nowhere), 20_000)), Outcome::ConnectFailed);
+    assert_eq!(harness.run(&harness.attempt(&node(nowhere), 20_000)), Outcome::ConnectFailed);
 }
 
 #[test]
-fn what_was_given_up_before_it_began_is_never_written() {
-    let line = line();
+fn an_attempt_aborted_before_it_starts_is_never_written() {
+    let harness = harness();
     let (toy, node) = toy(|| Reply::Answer(200, Vec::new()));
-    let attempt = line.attempt(&node, 20_000);
+    let attempt = harness.attempt(&node, 20_000);
     attempt.cancel();
-    assert_eq!(line.run(&attempt), Outcome::Cancelled);
-    let attempt = line.attempt(&node, 20_000);
+    assert_eq!(harness.run(&attempt), Outcome::Cancelled);
+    let attempt = harness.attempt(&node, 20_000);
     attempt.time_out();
-    assert_eq!(line.run(&attempt), Outcome::NotSent);
-    assert_eq!(line.run(&line.attempt(&node, 0)), Outcome::NotSent);
+    assert_eq!(harness.run(&attempt), Outcome::NotSent);
+    assert_eq!(harness.run(&harness.attempt(&node, 0)), Outcome::NotSent);
     node.remove();
-    assert_eq!(line.run(&line.attempt(&node, 20_000)), Outcome::NotSent);
+    assert_eq!(harness.run(&harness.attempt(&node, 20_000)), Outcome::NotSent);
     assert!(toy.asked().is_empty());
     assert_eq!(toy.connections().0, 0);
 }
 
 #[test]
-fn an_attempt_that_is_out_ends_as_it_was_given_up_and_its_connection_is_not_used_again() {
-    let line = line();
+fn an_aborted_attempt_ends_with_its_cause_and_its_connection_is_not_reused() {
+    let harness = harness();
     let (toy, node) = toy(|| Reply::Silent);
-    for (give_up, outcome) in
+    for (abort, outcome) in
         [(Attempt::cancel as fn(&Attempt), Outcome::Cancelled), (Attempt::time_out, Outcome::Timeout)]
     {
-        let attempt = line.attempt(&node, 20_000);
-        // Counted before it is handed over: the node may be asked at once, and answers nothing.
+        let attempt = harness.attempt(&node, 20_000);
+        // Counted before the attempt is submitted: the node may be asked at once, and does not answer.
         let before = toy.asked().len();
-        assert!(line.senders.submit(attempt.clone()).is_ok());
-        while toy.asked().len() == before && line.notes.is_empty() {
+        assert!(harness.workers.submit(attempt.clone()).is_ok());
+        while toy.asked().len() == before && harness.inputs.is_empty() {
             std::thread::sleep(Duration::from_millis(2));
         }
-        give_up(&attempt);
-        give_up(&attempt);
-        assert_eq!(line.end(), outcome);
+        abort(&attempt);
+        abort(&attempt);
+        assert_eq!(harness.wait_for_outcome(), outcome);
         attempt.cancel();
         assert_eq!(node.idle(), 0);
     }
@@ -144,30 +147,33 @@
 }
 
 #[test]
-fn a_second_answer_to_one_request_is_not_passed_on() {
-    let line = line();
+fn a_second_response_to_one_request_is_not_forwarded() {
+    let harness = harness();
     let (_toy, node) = toy(|| Reply::Answer(200, b"once".to_vec()));
-    let attempt = line.attempt(&node, 20_000);
+    let attempt = harness.attempt(&node, 20_000);
     assert!(attempt.request.claim());
     assert!(!attempt.request.claim());
-    assert_eq!(line.run(&attempt), Outcome::Ok);
+    assert_eq!(harness.run(&attempt), Outcome::Ok);
     assert_eq!(node.idle(), 1);
-    // Nothing came to the client.
-    line.client.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
-    assert!(!matches!((&line.client).read(&mut [0]), Ok(1)));
+    // Nothing was sent to the client.
+    harness.client.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
+    assert!(!matches!((&harness.client).read(&mut [0]), Ok(1)));
 }
 
-/// Guards against taking a client that reads slowly for a slow node: an answer's time is when it came, and a long one
-/// that its client does not take ends as the client's, not as the node's time-out.
+/// Guards against a node that appears slow because the client reads slowly: the response's time is when it arrived, and
+/// a long response that its client does not read ends as the client's fault, not as the node's timeout.
 #[test]
-fn a_client_that_reads_slowly_makes_no_node_slow() {
-    let line = line();
+fn a_client_that_reads_slowly_does_not_make_the_node_look_slow() {
+    let harness = harness();
     let (_toy, node) = toy(|| Reply::Answer(200, vec![b'x'; 8 << 20]));
-    let attempt = line.attempt(&node, 20_000);
-    assert!(line.senders.submit(attempt.clone()).is_ok());
-    assert!(matches!(line.notes.recv_timeout(Duration::from_secs(20)), Ok(DecisionInput::StreamStarted(..))));
-    let reads_from = Instant::now();
-    let mut client = line.client.try_clone().unwrap();
+    let attempt = harness.attempt(&node, 20_000);
+    assert!(harness.workers.submit(attempt.clone()).is_ok());
+    assert!(matches!(
+        harness.inputs.recv_timeout(Duration::from_secs(20)),
+        Ok(DecisionInput::StreamStarted(..))
+    ));
+    let reading_since = Instant::now();
+    let mut client = harness.client.try_clone().unwrap();
     let reader = std::thread::spawn(move || {
         let (mut chunk, mut all) = (vec![0; 64 << 10], 0);
         while all < 8 << 20 {
@@ -178,44 +184,44 @@
         }
         all
     });
-    match line.notes.recv_timeout(Duration::from_secs(20)) {
+    match harness.inputs.recv_timeout(Duration::from_secs(20)) {
         Ok(DecisionInput::AttemptEnded { outcome: Outcome::Ok, ended_at, .. }) => {
-            assert!(ended_at < reads_from)
+            assert!(ended_at < reading_since)
         }
-        _ => panic!("no end"),
+        _ => panic!("the attempt did not end"),
     }
     assert!(reader.join().unwrap() >= 8 << 20);
-    // One that is given up while its client takes nothing, and then leaves.
-    let attempt = line.attempt(&node, 20_000);
-    let Line { senders, notes, client, .. } = line;
-    assert!(senders.submit(attempt.clone()).is_ok());
-    assert!(matches!(notes.recv_timeout(Duration::from_secs(20)), Ok(DecisionInput::StreamStarted(..))));
+    // An attempt that times out while its client reads nothing and then disconnects.
+    let attempt = harness.attempt(&node, 20_000);
+    let Harness { workers, inputs, client, .. } = harness;
+    assert!(workers.submit(attempt.clone()).is_ok());
+    assert!(matches!(inputs.recv_timeout(Duration::from_secs(20)), Ok(DecisionInput::StreamStarted(..))));
     attempt.time_out();
     drop(client);
-    let end = notes.recv_timeout(Duration::from_secs(20));
+    let end = inputs.recv_timeout(Duration::from_secs(20));
     assert!(matches!(
         end,
         Ok(DecisionInput::AttemptEnded { outcome: Outcome::Cancelled | Outcome::Timeout, .. })
     ));
 }
 
-/// Guards against connections that the other side lets go of sooner than it says: those that stood for long break,
-/// younger ones don't; what is never used again is forgotten and tried once more.
+/// Guards against idle connections that the other side drops earlier than announced: those that were idle for long
+/// break, younger ones don't; an idle time that is never used again is tried once more after a while.
 #[test]
-fn connections_that_break_after_standing_for_long_are_kept_for_less() {
+fn connections_that_break_after_long_idle_times_are_kept_for_less_time() {
     let limits = limits();
-    let reuse = ReuseStatistics::default();
+    let statistics = ReuseStatistics::default();
     let (young, old) = (Duration::from_millis(20), Duration::from_millis(250));
     for at in 0..40 {
-        reuse.record(young, at % 20 == 0);
-        reuse.record(old, false);
+        statistics.record(young, at % 20 == 0);
+        statistics.record(old, false);
     }
-    assert_eq!(reuse.max_idle_time(&limits), Duration::MAX);
-    (0..16).for_each(|at| reuse.record(old, at % 2 == 0));
-    assert_eq!(reuse.max_idle_time(&limits), Duration::from_millis(200));
-    (0..100).for_each(|_| reuse.decay());
-    assert_eq!(reuse.max_idle_time(&limits), Duration::MAX);
-    // Where the youngest break as often, standing is not the cause.
-    (0..40).for_each(|_| (reuse.record(young, true), reuse.record(old, true)).0);
-    assert_eq!(reuse.max_idle_time(&limits), Duration::MAX);
+    assert_eq!(statistics.max_idle_time(&limits), Duration::MAX);
+    (0..16).for_each(|at| statistics.record(old, at % 2 == 0));
+    assert_eq!(statistics.max_idle_time(&limits), Duration::from_millis(200));
+    (0..100).for_each(|_| statistics.decay());
+    assert_eq!(statistics.max_idle_time(&limits), Duration::MAX);
+    // If the youngest connections break as often, idle time is not the cause.
+    (0..40).for_each(|_| (statistics.record(young, true), statistics.record(old, true)).0);
+    assert_eq!(statistics.max_idle_time(&limits), Duration::MAX);
 }
