--- a/crates/marshal/tests/whole/bad_input.rs
+++ b/crates/marshal/tests/whole/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input has a defined answer, and stops neither the marshal nor other requests.
+//! Invalid input has a defined response, and affects neither the marshal nor other requests.
 
 use crate::support::*;
 use milletwing_toy::discovery::Host;
@@ -9,8 +9,8 @@
 }
 
 #[test]
-fn malformed_requests_are_answered_by_a_status_and_the_connection_ends() {
-    let node = serving("ok");
+fn malformed_requests_get_a_status_and_the_connection_is_closed() {
+    let node = node_answering("ok");
     let world = World::of(&[&node]);
     let good = "X-Txn: b1\r\nX-Lane: lookup\r\nX-Remaining: 900m";
     let long = "x".repeat(20 << 10);
@@ -121,8 +121,8 @@
 }
 
 #[test]
-fn a_request_that_comes_byte_by_byte_is_served() {
-    let node = serving("ok");
+fn a_request_that_arrives_byte_by_byte_is_served() {
+    let node = node_answering("ok");
     let world =
         World::with(&[&node], |limits| limits.client_read_timeout = std::time::Duration::from_secs(20));
     let mut client = world.client();
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn clients_that_break_off_or_stop_reading_hold_up_nobody() {
+fn clients_that_disconnect_or_stop_reading_do_not_block_others() {
     let large = vec![b'z'; 64 << 10];
     let node = node(move |_| Reply::Answer(200, large.clone()));
     let world =
@@ -142,22 +142,22 @@
         let mut client = world.client();
         client.send(&lookup("900m").as_bytes()[..at]);
     }
-    // One that asks again and again without reading: its connection ends, with bounded memory.
-    let mut deaf = world.client();
+    // A client that sends requests without reading: its connection is closed, and memory stays bounded.
+    let mut not_reading = world.client();
     for _ in 0..400 {
-        deaf.send(lookup("60000m").as_bytes());
+        not_reading.send(lookup("60000m").as_bytes());
     }
     assert_eq!(world.ask(&lookup("5000m")).body.len(), 64 << 10);
-    drop(deaf);
-    until("all have ended", || {
+    drop(not_reading);
+    wait_until("other requests are served", || {
         let text = format!("{}", world.server.counters());
         !text.is_empty() && world.ask(&lookup("5000m")).word(1) == "200"
     });
 }
 
 #[test]
-fn lists_that_are_cut_or_strange_leave_the_list_and_the_next_one_counts() {
-    let (first, second) = (serving("first"), serving("second"));
+fn invalid_node_lists_are_ignored_until_a_valid_one_arrives() {
+    let (first, second) = (node_answering("first"), node_answering("second"));
     let world = World::of(&[&first]);
     world
         .discovery
@@ -171,67 +171,67 @@
         second.addr
     );
     let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    // Said once it may be spoilt, and nothing of it counts; said again it is so, and what can be read counts.
+    // A list with unreadable entries is ignored the first time; if it is the same again, its readable part counts.
     let called = world.discovery.calls().len();
     world.discovery.answer_raw(whole.as_bytes());
-    until("the whole list is asked for", || {
+    wait_until("the complete list is fetched", || {
         world.discovery.calls()[called..].contains(&"/discovery/hosts".to_string())
     });
     assert_eq!(world.ask(&lookup("5000m")).body, b"first");
-    until("the odd list counts", || {
+    wait_until("the readable part of the list takes effect", || {
         world.discovery.answer_raw(whole.as_bytes());
         world.ask(&lookup("5000m")).body == b"second"
     });
 }
 
-/// Guards against answers of which only a part comes while the connection stays: the call must not wait them out.
+/// Guards against waiting for the rest of a response that stops halfway while the connection stays open.
 #[test]
-fn half_an_answer_of_discovery_or_the_platform_ends_the_connection_soon() {
-    let (first, second) = (serving("first"), serving("second"));
+fn a_partial_response_of_discovery_or_the_platform_soon_ends_the_connection() {
+    let (first, second) = (node_answering("first"), node_answering("second"));
     let world = World::with(&[&first], |limits| {
         limits.watch_wait = std::time::Duration::from_secs(3600);
         limits.partial_response_timeout = std::time::Duration::from_millis(50);
         limits.platform_silence_timeout = std::time::Duration::from_secs(3600);
     });
-    until("it subscribes", || world.platform.subscribed() == 1);
-    until("it watches", || !world.discovery.calls().is_empty());
+    wait_until("the marshal subscribes", || world.platform.subscribed() == 1);
+    wait_until("the watch begins", || !world.discovery.calls().is_empty());
     world.discovery.answer_part(b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"version\":9,\"ful");
     world.platform.tell_part("* stage 3 1 te");
-    until("it subscribes again", || world.platform.subscribed() == 2);
+    wait_until("the marshal subscribes again", || world.platform.subscribed() == 2);
     world.discovery.set(Host { started_ms: 1, ..Host::new("n0", second.addr, 1) });
-    until("the list is followed", || world.ask(&lookup("5000m")).body == b"second");
+    wait_until("the list takes effect", || world.ask(&lookup("5000m")).body == b"second");
 }
 
-/// Guards against a list that is longer than any request may be.
+/// Guards against a node list that is longer than any request may be.
 #[test]
-fn a_list_longer_than_a_request_may_be_is_read() {
-    let (first, second) = (serving("first"), serving("second"));
+fn a_node_list_longer_than_the_request_limit_is_accepted() {
+    let (first, second) = (node_answering("first"), node_answering("second"));
     let world = World::of(&[&first]);
-    let at = nowhere();
-    let many = (0..900).map(|at_| Host { state: "leaving", ..Host::new(&format!("far-{at_}"), at, 1) });
+    let at = unused_address();
+    let many = (0..900).map(|index| Host { state: "leaving", ..Host::new(&format!("far-{index}"), at, 1) });
     let hosts: Vec<Host> = many.chain([Host::new("n0", second.addr, 1)]).collect();
     let body = milletwing_toy::discovery::page(7, true, &hosts);
     assert!(body.len() > 64 << 10);
     let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    until("the long list counts", || {
+    wait_until("the long list takes effect", || {
         world.discovery.answer_raw(whole.as_bytes());
         world.ask(&lookup("5000m")).body == b"second"
     });
 }
 
-/// Guards against connections that say nothing, or never come to an end of their first request, one byte after the
-/// other: each gets its error or its end by a time that counts from connecting.
+/// Guards against connections that send nothing, or that send their first request endlessly, byte by byte: each gets an
+/// error or is closed by a time that counts from connecting.
 #[test]
-fn whoever_sends_no_whole_request_is_answered_or_ended_by_a_time_from_connecting() {
-    let node = serving("ok");
+fn the_first_request_must_be_complete_within_a_time_from_connecting() {
+    let node = node_answering("ok");
     let world = World::with(&[&node], |limits| {
         limits.first_request_timeout = std::time::Duration::from_millis(300);
         limits.client_read_timeout = std::time::Duration::from_secs(3600);
         limits.client_idle_timeout = std::time::Duration::from_secs(3600);
     });
-    let mut usual = world.client();
-    usual.send(lookup("5000m").as_bytes());
-    assert_eq!(usual.answer().word(1), "200");
+    let mut regular = world.client();
+    regular.send(lookup("5000m").as_bytes());
+    assert_eq!(regular.answer().word(1), "200");
     let mut silent = world.client();
     let mut slow = world.client();
     slow.send(b"GET /api HTTP/1.1\r\nX-Txn: ");
@@ -243,63 +243,65 @@
     });
     assert!(silent.ends());
     assert_eq!(slow.answer().word(1), "408");
-    // Who has sent a whole request keeps the connection.
-    usual.send(lookup("5000m").as_bytes());
-    assert_eq!(usual.answer().word(1), "200");
+    // A client that has sent a complete request keeps its connection.
+    regular.send(lookup("5000m").as_bytes());
+    assert_eq!(regular.answer().word(1), "200");
 }
 
-/// Guards against silent connections that take the place of usual clients.
+/// Guards against silent connections that displace regular clients.
 #[test]
-fn who_never_sent_a_whole_request_gives_way_before_usual_clients() {
-    let node = serving("ok");
+fn connections_without_a_complete_request_are_closed_before_regular_clients() {
+    let node = node_answering("ok");
     let world = World::with(&[&node], |limits| {
         (limits.max_clients, limits.max_excess_clients) = (4, 4);
         limits.first_request_timeout = std::time::Duration::from_secs(3600);
         limits.partial_request_grace = std::time::Duration::ZERO;
     });
-    let mut usual: Vec<Client> = (0..3).map(|_| world.client()).collect();
+    let mut regular: Vec<Client> = (0..3).map(|_| world.client()).collect();
     let mut ask = |at: usize| {
-        usual[at].send(lookup("5000m").as_bytes());
-        usual[at].answer().word(1).to_string()
+        regular[at].send(lookup("5000m").as_bytes());
+        regular[at].answer().word(1).to_string()
     };
     (0..3).for_each(|at| assert_eq!(ask(at), "200"));
     let mut silent = Vec::new();
     for _ in 0..30 {
         silent.push(world.client());
-        let mut partly = world.client();
-        partly.send(b"GET /api HT");
-        silent.push(partly);
+        let mut incomplete = world.client();
+        incomplete.send(b"GET /api HT");
+        silent.push(incomplete);
         assert_eq!(world.ask(&lookup("5000m")).word(1), "200");
-        until("those have given way", || world.server.clients() == 3);
+        wait_until("the silent connections are closed", || world.server.clients() == 3);
     }
     (0..3).for_each(|at| assert_eq!(ask(at), "200"));
 }
 
-/// Guards against clients that ask once and keep the connection: others find room before the limit is reached.
+/// Guards against clients that send one request and keep the connection: there is room for others before the limit is
+/// reached.
 #[test]
-fn in_a_crowd_idle_connections_give_way_to_new_ones() {
-    let node = serving("ok");
+fn idle_connections_above_the_threshold_are_closed() {
+    let node = node_answering("ok");
     let world = World::with(&[&node], |limits| {
         (limits.idle_eviction_threshold, limits.idle_eviction_age) = (4, std::time::Duration::ZERO);
         limits.partial_request_grace = std::time::Duration::from_secs(3600);
         limits.idle_eviction_interval = std::time::Duration::from_millis(5);
         limits.client_idle_timeout = std::time::Duration::from_secs(3600);
     });
-    let mut stayed = Vec::new();
+    let mut clients = Vec::new();
     for _ in 0..20 {
         let mut client = world.client();
         client.send(lookup("5000m").as_bytes());
         assert_eq!(client.answer().word(1), "200");
-        stayed.push(client);
+        clients.push(client);
     }
-    // Without a new one that makes them.
-    until("few are held", || world.server.clients() < 4);
+    // Without a new connection that would trigger it.
+    wait_until("few connections are left", || world.server.clients() < 4);
 }
 
-/// Guards against reading a body without end that nobody wants: the answer comes at once, and then the end.
+/// Guards against reading an endless body that is not wanted: the response is sent at once, and then the connection is
+/// closed.
 #[test]
-fn a_body_far_too_long_is_answered_at_once_and_not_read_to_its_end() {
-    let node = serving("ok");
+fn a_far_too_long_body_is_rejected_at_once_and_not_read_to_its_end() {
+    let node = node_answering("ok");
     let world = World::with(&[&node], |limits| limits.linger_timeout = std::time::Duration::from_secs(3600));
     let mut client = world.client();
     let id = id();
@@ -314,28 +316,28 @@
 }
 
 #[test]
-fn strange_lines_of_the_platform_renew_the_connection_or_are_skipped() {
-    let node = serving("ok");
+fn malformed_platform_lines_cause_a_reconnect_and_unknown_ones_are_ignored() {
+    let node = node_answering("ok");
     let world = World::of(&[&node]);
-    until("it subscribes", || world.platform.subscribed() == 1);
+    wait_until("the marshal subscribes", || world.platform.subscribed() == 1);
     for line in ["* tally 1 lookup 57 2 18.5 900", "* flag n0 lookup 12", "* dance 1 2", "*"] {
         world.platform.tell(line);
     }
     assert_eq!(world.ask(&lookup("5000m")).word(1), "200");
     assert_eq!(world.platform.subscribed(), 1);
-    // After what is spoilt nothing else would come on that connection.
+    // Nothing else would arrive on a connection after a malformed line.
     let long = "x".repeat(9 << 10);
     for (at, line) in
         [&*long, "WHAT IS THIS", "* tally x", "* stage 2 0 dancing 0.5 0", "* \u{7f}\u{1}"].iter().enumerate()
     {
         world.platform.tell(line);
-        until("it subscribes again", || world.platform.subscribed() == 2 + at);
+        wait_until("the marshal subscribes again", || world.platform.subscribed() == 2 + at);
     }
     assert_eq!(world.ask(&lookup("5000m")).word(1), "200");
 }
 
 #[test]
-fn a_configuration_that_lacks_something_is_refused_by_one_line_that_names_it() {
+fn an_invalid_configuration_is_rejected_with_one_line_that_names_the_field() {
     use milletwing_marshal::Config;
     let read = |text: &str| Config::read(text, |_| None);
     let cases = [
@@ -359,20 +361,20 @@
 }
 
 #[test]
-fn a_node_on_a_port_of_its_own_and_one_that_is_gone_don_t_disturb_each_other() {
-    let node = serving("ok");
-    let hosts = [Host::new("n0", nowhere(), 1), Host::new("n1", node.addr, 1)];
+fn an_unreachable_node_does_not_disturb_the_reachable_one() {
+    let node = node_answering("ok");
+    let hosts = [Host::new("n0", unused_address(), 1), Host::new("n1", node.addr, 1)];
     let world = World::hosts(&hosts, "1 2 live 1 60000", |_| None, |_| {});
     for _ in 0..10 {
         assert_eq!(world.ask(&lookup("5000m")).word(1), "200");
     }
 }
 
-/// Guards against clients that ask for the end of their connection and never end their side: each would hold a
+/// Guards against clients that request the end of their connection and never close their side: each would hold a
 /// descriptor outside the limit.
 #[test]
-fn a_client_that_never_closes_after_the_last_answer_holds_no_connection() {
-    let node = serving("ok");
+fn a_client_that_never_closes_after_the_last_response_holds_no_connection() {
+    let node = node_answering("ok");
     let refusing = node_without_room();
     for (world, status) in [(World::of(&[&node]), "200"), (World::of(&[&refusing]), "503")] {
         let mut clients = Vec::new();
@@ -386,7 +388,7 @@
         let mut front = world.client();
         front.send(b"GET /up HTTP/1.0\r\n\r\n");
         assert_eq!(front.answer().word(1), "200");
-        until("none is held", || world.server.clients() == 0);
+        wait_until("no connection is left", || world.server.clients() == 0);
     }
 }
 
@@ -395,7 +397,7 @@
 }
 
 #[test]
-fn where_connections_to_nodes_run_out_each_request_still_gets_one_answer() {
+fn each_request_gets_one_response_when_node_connections_run_out() {
     let slow = node(|_| {
         Reply::After(std::time::Duration::from_millis(60), Box::new(Reply::Answer(200, Vec::new())))
     });
@@ -411,17 +413,19 @@
     assert!(format!("{}", world.server.counters()).contains("taken 12 "));
 }
 
-/// Guards against requests that wait in the queue of connections until their time is over: where every connection
-/// within the limit is busy, what comes above it is turned away at once, and nothing is lost.
+/// Guards against requests that wait in the accept queue until their deadline: if every connection within the limit is
+/// busy, requests on further connections are refused at once, and nothing is lost.
 #[test]
-fn above_the_limit_of_connections_requests_are_turned_away_at_once() {
+fn requests_above_the_connection_limit_are_refused_at_once() {
     let silent = node(|_| Reply::Silent);
     let world = World::with(&[&silent], |limits| (limits.max_clients, limits.max_excess_clients) = (2, 4));
     let mut held: Vec<Client> = (0..2).map(|_| world.client()).collect();
     for client in &mut held {
         client.send(pay("60000m").as_bytes());
     }
-    until("both are out", || format!("{}", world.server.counters()).contains("attempts 2 "));
+    wait_until("both requests are in progress", || {
+        format!("{}", world.server.counters()).contains("attempts 2 ")
+    });
     for _ in 0..6 {
         let mut client = world.client();
         client.send(lookup("60000m").as_bytes());
@@ -432,9 +436,9 @@
     for client in &mut held {
         assert_eq!(client.answer().word(1), "502");
     }
-    // There is room again. Whether the module sends it to a node that has just timed out twice is a throw of its die, and no matter
-    // of connections: 502 or 503, but taken, and not turned away.
-    until("a request is taken again", || {
+    // There is room again. Whether the module sends the request to a node that has just timed out twice is random and
+    // does not depend on connections: 502 or 503, but the request is admitted and not refused for the limit.
+    wait_until("a request is admitted again", || {
         let last = world.ask(&pay("900m"));
         assert!(matches!(last.word(1), "502" | "503"), "{last:?}");
         format!("{}", world.server.counters()).contains("taken 3 ")
--- a/crates/marshal/tests/whole/main.rs
+++ b/crates/marshal/tests/whole/main.rs
@@ -1,4 +1,4 @@
-//! Whole marshals on loopback, among the toy's stand-ins.
+//! Complete marshals on loopback, with the toy package as the other parties.
 
 mod answers;
 mod bad_input;
--- a/crates/marshal/tests/whole/outside.rs
+++ b/crates/marshal/tests/whole/outside.rs
@@ -1,4 +1,4 @@
-//! Discovery and the platform: what they tell is followed, and their failures are lived with.
+//! Discovery and the platform: their reports take effect, and their failures are tolerated.
 
 use crate::support::*;
 use milletwing_toy::discovery::Host;
@@ -7,24 +7,26 @@
 use std::time::Duration;
 
 #[test]
-fn changes_of_the_list_are_followed() {
-    let (first, second, third) = (serving("first"), serving("second"), serving("third"));
+fn changes_of_the_node_list_take_effect() {
+    let (first, second, third) = (node_answering("first"), node_answering("second"), node_answering("third"));
     let world = World::of(&[&first]);
     assert_eq!(world.ask(&lookup("5000m")).body, b"first");
     world.discovery.set(Host::new("n1", second.addr, 1));
-    until("the new node is used", || world.ask(&lookup("5000m")).body == b"second");
-    // One that leaves gets nothing new and finishes what it has.
+    wait_until("the new node is used", || world.ask(&lookup("5000m")).body == b"second");
+    // A leaving node gets no new requests and completes its current ones.
     world.discovery.set(Host { state: "leaving", ..Host::new("n0", first.addr, 1) });
-    until("the old one's connections end", || first.connections().0 == first.connections().1);
+    wait_until("the connections to the leaving node are closed", || {
+        first.connections().0 == first.connections().1
+    });
     let before = first.asked().len();
     for _ in 0..10 {
         assert_eq!(world.ask(&lookup("5000m")).body, b"second");
     }
     assert_eq!(first.asked().len(), before);
     world.discovery.set(Host { state: "left", ..Host::new("n0", first.addr, 1) });
-    // The other comes back under its id at another address: the old one gets nothing more.
+    // The other node returns under its id at another address: the old address gets nothing more.
     world.discovery.set(Host { started_ms: 1, ..Host::new("n1", third.addr, 1) });
-    until("the new address is used", || world.ask(&lookup("5000m")).body == b"third");
+    wait_until("the new address is used", || world.ask(&lookup("5000m")).body == b"third");
     let before = second.asked().len();
     for _ in 0..10 {
         assert_eq!(world.ask(&lookup("5000m")).body, b"third");
@@ -33,30 +35,30 @@
 }
 
 #[test]
-fn a_watch_goes_on_after_its_answers_and_after_silence() {
-    let (first, second) = (serving("first"), serving("second"));
+fn a_watch_continues_after_responses_and_after_silence() {
+    let (first, second) = (node_answering("first"), node_answering("second"));
     let world = World::of(&[&first]);
-    until("it watches on", || world.discovery.calls().len() >= 3);
+    wait_until("the watch continues", || world.discovery.calls().len() >= 3);
     assert!(world.discovery.calls().iter().all(|call| call.starts_with("/discovery/hosts?index=1&wait=")));
     world.discovery.silent(true);
     assert_eq!(world.ask(&lookup("5000m")).body, b"first");
-    let silent_from = world.discovery.calls().len();
-    until("it calls anew", || world.discovery.calls().len() > silent_from);
+    let calls_before_silence = world.discovery.calls().len();
+    wait_until("the client calls again", || world.discovery.calls().len() > calls_before_silence);
     world.discovery.silent(false);
     world.discovery.set(Host { started_ms: 1, ..Host::new("n0", second.addr, 1) });
-    until("the change is followed", || world.ask(&lookup("5000m")).body == b"second");
+    wait_until("the change takes effect", || world.ask(&lookup("5000m")).body == b"second");
 }
 
 #[test]
-fn news_lowers_the_cap_at_once() {
-    let (old, new) = (serving("old"), serving("new"));
+fn a_reported_stage_lowers_the_cap_at_once() {
+    let (old, new) = (node_answering("old"), node_answering("new"));
     let hosts = [Host::new("n0", old.addr, 1), Host::new("n1", new.addr, 2)];
     let world = World::hosts(&hosts, "2 0 testing 0.5 0", |_| None, |_| {});
-    until("the build on trial is asked", || world.ask(&lookup("5000m")).body == b"new");
-    until("it subscribes", || world.platform.subscribed() == 1);
+    wait_until("the build on trial is used", || world.ask(&lookup("5000m")).body == b"new");
+    wait_until("the marshal subscribes", || world.platform.subscribed() == 1);
     world.platform.stage("2 0 recalled 0 0");
-    // Behind this line's news the platform's next one is read, too: wait for an effect that shows it.
-    until("nothing goes there any more", || {
+    // The platform's next line is parsed too: waits for an effect that shows it.
+    wait_until("the withdrawn build gets no more requests", || {
         let before = new.asked().len();
         for _ in 0..40 {
             assert_eq!(world.ask(&lookup("5000m")).word(1), "200");
@@ -66,8 +68,8 @@
 }
 
 #[test]
-fn votes_are_cast_again_after_any_failure_until_one_counts() {
-    let (old, new) = (serving("old"), serving("new"));
+fn votes_are_repeated_after_any_failure_until_one_is_accepted() {
+    let (old, new) = (node_answering("old"), node_answering("new"));
     let hosts = [Host::new("n0", old.addr, 1), Host::new("n1", new.addr, 2)];
     let heard = AtomicUsize::new(0);
     let votes = move |_: &str| {
@@ -79,32 +81,32 @@
         })
     };
     let world = World::hosts(&hosts, "2 0 testing 0.5 9000", votes, |_| {});
-    until("a vote counts", || {
+    wait_until("a vote is accepted", || {
         world.ask(&lookup("5000m"));
         world.platform.said().len() >= 4
     });
     assert!(world.platform.said().iter().all(|call| call == "SAY 2 0 promote"));
-    // The answer that can't be read has cost the connection; another stands.
-    until("it has subscribed again", || world.platform.subscribed() == 2);
+    // The malformed answer has ended the connection, and there is a new one.
+    wait_until("the marshal has subscribed again", || world.platform.subscribed() == 2);
 }
 
 #[test]
-fn a_platform_that_ends_the_connection_is_asked_again_and_votes_wait_for_no_answer_for_ever() {
-    let (old, new) = (serving("old"), serving("new"));
+fn the_marshal_reconnects_to_the_platform_and_repeats_unanswered_votes() {
+    let (old, new) = (node_answering("old"), node_answering("new"));
     let hosts = [Host::new("n0", old.addr, 1), Host::new("n1", new.addr, 2)];
     let world = World::hosts(&hosts, "2 0 testing 0.5 9000", |_| None, |_| {});
-    until("it subscribes", || world.platform.subscribed() == 1);
+    wait_until("the marshal subscribes", || world.platform.subscribed() == 1);
     world.platform.cut();
-    until("it subscribes again", || world.platform.subscribed() == 2);
-    until("an unanswered vote is cast again", || world.platform.said().len() >= 2);
+    wait_until("the marshal subscribes again", || world.platform.subscribed() == 2);
+    wait_until("an unanswered vote is repeated", || world.platform.said().len() >= 2);
     assert_eq!(world.ask(&lookup("5000m")).word(1), "200");
 }
 
 #[test]
-fn where_discovery_must_be_asked_nothing_is_called_unasked() {
+fn on_request_discovery_is_called_only_at_the_module_s_request() {
     use milletwing_marshal::{Config, Server};
     use milletwing_toy::{discovery::Discovery, platform::Platform};
-    let node = serving("ok");
+    let node = node_answering("ok");
     let discovery = Discovery::start("127.0.0.1:0", &[Host::new("n0", node.addr, 1)]).unwrap();
     let platform = Platform::start("127.0.0.1:0", "1 2 live 1 60000", |_| None).unwrap();
     let text = EXAMPLE
@@ -115,24 +117,24 @@
     let config = Config::read(&text, |_| None).unwrap();
     let limits = limits(&config);
     let server = Server::start_with(config, limits).unwrap();
-    // The list of the configuration is empty: the module's call brings the node, and the watch goes on.
-    until("the node is used", || {
+    // The configuration's list is empty: the module's request brings the node, and the watch continues.
+    wait_until("the node is used", || {
         let mut client = Client::to(server.listen);
         client.send(lookup("900m").as_bytes());
         client.answer().word(1) == "200"
     });
-    let second = serving("second");
+    let second = node_answering("second");
     discovery.set(Host { started_ms: 1, ..Host::new("n0", second.addr, 1) });
-    until("the change is followed", || {
+    wait_until("the change takes effect", || {
         let mut client = Client::to(server.listen);
         client.send(lookup("900m").as_bytes());
         client.answer().body == b"second"
     });
-    // A watch that breaks is begun again by the module's next call.
+    // A broken watch is started again by the module's next request.
     discovery.answer_raw(b"nonsense\r\n\r\n");
-    let third = serving("third");
+    let third = node_answering("third");
     discovery.set(Host { started_ms: 2, ..Host::new("n0", third.addr, 1) });
-    until("the change is followed", || {
+    wait_until("the change takes effect", || {
         let mut client = Client::to(server.listen);
         client.send(lookup("900m").as_bytes());
         client.answer().body == b"third"
@@ -140,7 +142,7 @@
 }
 
 #[test]
-fn many_clients_at_once_are_served_within_few_threads_and_connections() {
+fn many_concurrent_clients_are_served_and_counted() {
     let node =
         node(|_| Reply::After(Duration::from_millis(20), Box::new(Reply::Answer(200, vec![b'a'; 2000]))));
     let world = World::of(&[&node]);
@@ -158,8 +160,8 @@
         })
         .collect();
     let served: usize = clients.into_iter().map(|client| client.join().unwrap()).sum();
-    // The last is counted once it is written, which its client may see first.
-    until("all are counted", || {
+    // The last response is counted after it is written, which its client may see first.
+    wait_until("all responses are counted", || {
         format!("{}", world.server.counters()).contains(&format!("served {served} "))
     });
     let counters = format!("{}", world.server.counters());
--- a/crates/marshal/tests/whole/support.rs
+++ b/crates/marshal/tests/whole/support.rs
@@ -1,4 +1,4 @@
-//! A marshal among stand-ins, and a client that speaks bytes.
+//! A marshal with toy versions of the other parties, and a client that sends raw bytes.
 
 use milletwing_marshal::{Config, Limits, Server};
 use milletwing_toy::discovery::{Discovery, Host};
@@ -12,8 +12,8 @@
 
 pub const EXAMPLE: &str = include_str!("../../../../examples/marshal.json");
 
-/// A client waits this long at most; far beyond what any test needs.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The longest that a client waits, far beyond what any test needs.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub struct World {
     pub discovery: Discovery,
@@ -34,7 +34,7 @@
     .unwrap()
 }
 
-/// Short times where the real ones would only make tests wait.
+/// Short timeouts where the real ones would only slow down the tests.
 pub fn limits(config: &Config) -> Limits {
     Limits {
         stop_accept_period: Duration::from_millis(100),
@@ -46,7 +46,7 @@
 }
 
 impl World {
-    /// Nodes of build 1, which is live.
+    /// A world with nodes of build 1, which is live.
     pub fn of(nodes: &[&Node]) -> World {
         World::with(nodes, |_| {})
     }
@@ -68,7 +68,7 @@
         let numbers: Vec<f64> = [0, 1, 3, 4].iter().map(|&at| words[at].parse().unwrap()).collect();
         let phase = milletwing_marshal::wire::phase(words[2]).unwrap();
         let state = [numbers[0], numbers[1], numbers[2], numbers[3]];
-        config.news = Some(milletwing_marshal::wire::stage_report(state, phase, false));
+        config.initial_stage = Some(milletwing_marshal::wire::stage_report(state, phase, false));
         let mut limits = limits(&config);
         change(&mut limits);
         let server = Server::start_with(config, limits).unwrap();
@@ -77,7 +77,7 @@
     pub fn client(&self) -> Client {
         Client::to(self.server.listen)
     }
-    /// One request on a connection of its own.
+    /// Sends one request on a connection of its own.
     pub fn ask(&self, request: &str) -> Message {
         let mut client = self.client();
         client.send(request.as_bytes());
@@ -85,7 +85,7 @@
     }
 }
 
-pub fn serving(body: &str) -> Node {
+pub fn node_answering(body: &str) -> Node {
     let body = body.as_bytes().to_vec();
     Node::start("127.0.0.1:0", move |_| Reply::Answer(200, body.clone())).unwrap()
 }
@@ -94,8 +94,8 @@
     Node::start("127.0.0.1:0", behaviour).unwrap()
 }
 
-/// An address where nothing listens.
-pub fn nowhere() -> SocketAddr {
+/// An address on which nothing listens.
+pub fn unused_address() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
@@ -126,19 +126,19 @@
 impl Client {
     pub fn to(addr: SocketAddr) -> Client {
         let stream = TcpStream::connect(addr).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(CLIENT_TIMEOUT)).unwrap();
         Client { stream, held: Vec::new() }
     }
     pub fn send(&mut self, bytes: &[u8]) {
-        let _ = self.stream.write_all(bytes); // what the marshal makes of it is what counts
+        let _ = self.stream.write_all(bytes); // the test checks what the marshal does with it
     }
     pub fn answer(&mut self) -> Message {
-        self.try_answer().expect("an answer")
+        self.try_answer().expect("the marshal responds")
     }
     pub fn try_answer(&mut self) -> Option<Message> {
         read_message(&self.stream, &mut self.held).ok()?
     }
-    /// Whether the marshal ends the connection, whatever comes before that.
+    /// Whether the marshal closes the connection, whatever it sends before that.
     pub fn ends(&mut self) -> bool {
         let mut rest = [0; 256];
         loop {
@@ -151,13 +151,13 @@
     }
 }
 
-/// Waits until something holds; it must, long before this gives up.
-pub fn until(what: &str, holds: impl Fn() -> bool) {
+/// Waits until a condition holds; fails the test after a time that is far longer than needed.
+pub fn wait_until(what: &str, holds: impl Fn() -> bool) {
     for _ in 0..2000 {
         if holds() {
             return;
         }
         std::thread::sleep(Duration::from_millis(10));
     }
-    panic!("never: {what}");
+    panic!("timed out waiting until {what}");
 }
