--- a/crates/marshal/src/platform.rs
+++ b/crates/marshal/src/platform.rs
@@ -148,7 +148,7 @@
                     let line = String::from_utf8_lossy(text.trim_ascii_end()).into_owned();
                     text.clear();
                     self.handle_line(&line)
-                        .inspect_err(|_| log::debug!("platform: malformed line: {}", line.escape_debug()))?;
+                        .inspect_err(|_| log::debug!("malformed platform line: {}", line.escape_debug()))?;
                 } else if text.len() >= self.limits.max_platform_line_bytes {
                     return Err(io::Error::new(io::ErrorKind::InvalidData, "a line exceeds 8 KiB"));
                 } else {
