--- a/crates/releases-server/src/host.rs
+++ b/crates/releases-server/src/host.rs
@@ -10,8 +10,8 @@
     Build, Event, Ms, PermitTable, Phase as StagePhase, Settings as DecisionSettings, StageReport, TenantId,
     Vote, ZoneId,
 };
-use milletwing_marshal::server::Gating;
-use milletwing_marshal::stage::{Note, Watching};
+use milletwing_marshal::ports::{DecisionInput, RolloutObserver};
+use milletwing_marshal::server::ReleaseGate;
 use milletwing_releases::engine::{Change, ClockReading, Engine, Phase, State, Verdict};
 use milletwing_releases::model::{Edition, Model};
 use milletwing_releases::planner::Planner;
@@ -65,7 +65,7 @@
     service: usize,
     zones: Vec<ZoneId>,
     tenants: Vec<TenantId>,
-    notes: Sender<Note>,
+    notes: Sender<DecisionInput>,
 }
 
 /// A message to the thread.
@@ -231,7 +231,7 @@
         service: usize,
         zones: &[String],
         tenants: &[String],
-        notes: Sender<Note>,
+        notes: Sender<DecisionInput>,
     ) -> Result<Watcher, String> {
         let index_of = |list: &[String], what: &str, name: &String| {
             let index = list.iter().position(|other| other == name);
@@ -262,8 +262,8 @@
     service: usize,
 }
 
-impl Watching for Watcher {
-    fn told(&self, news: &StageReport) {
+impl RolloutObserver for Watcher {
+    fn stage_reported(&self, news: &StageReport) {
         let verdict = match news.phase {
             StagePhase::Reverting | StagePhase::Withdrawn => Verdict::Revert,
             StagePhase::Released => Verdict::Proceed,
@@ -273,7 +273,7 @@
         let _ = self.commands.try_send(Command::SetVerdict(self.service, news.build, verdict));
         // on a full channel the report is dropped; the platform repeats it
     }
-    fn cast(&self, build: Build, vote: Vote) {
+    fn vote_cast(&self, build: Build, vote: Vote) {
         // A vote to proceed waits for the platform's decision; a vote to revert takes effect at once.
         if vote == Vote::Revert {
             let _ = self.commands.try_send(Command::SetVerdict(self.service, build, Verdict::Revert));
@@ -283,7 +283,7 @@
 }
 
 // The gate of the service that this instance routes.
-impl Gating for Host {
+impl ReleaseGate for Host {
     fn settings(&self, decisions: &mut DecisionSettings) {
         decisions.require_permits = true;
     }
@@ -291,8 +291,8 @@
         self: Box<Self>,
         zones: &[String],
         tenants: &[String],
-        notes: Sender<Note>,
-    ) -> io::Result<Box<dyn Watching>> {
+        notes: Sender<DecisionInput>,
+    ) -> io::Result<Box<dyn RolloutObserver>> {
         let watcher = self.attach(self.service, zones, tenants, notes).map_err(io::Error::other)?;
         Ok(Box::new(watcher))
     }
@@ -496,7 +496,8 @@
         }
         let (version, ttl) = (table.number, Ms(table.ttl_ms as f64));
         let permits = Arc::new(PermitTable { version, ttl, released, in_rollout });
-        let _ = attached.notes.send(Note::Told(Event::PermitTable(permits))); // fails if the marshal has ended
+        let _ = attached.notes.send(DecisionInput::Event(Event::PermitTable(permits)));
+        // fails if the marshal has ended
     }
 
     /// Answers a request. One that has to be committed by the group is answered after the commit.
--- a/crates/releases-server/tests/gate.rs
+++ b/crates/releases-server/tests/gate.rs
@@ -2,7 +2,7 @@
 
 use crossbeam_channel::{bounded, unbounded, Receiver, Sender};
 use milletwing_decision::interface::{Build, Event, PermitTable, TenantId, ZoneId};
-use milletwing_marshal::stage::{Note, Watching};
+use milletwing_marshal::ports::{DecisionInput, RolloutObserver};
 use milletwing_releases::engine::{Change, ClockReading, Engine, State, Verdict};
 use milletwing_releases::model::Edition;
 use milletwing_releases_server::journal::Journal;
@@ -128,7 +128,7 @@
     Settings::from_file(&file.display().to_string()).unwrap()
 }
 
-fn attach(host: &Host, service: usize) -> (Receiver<Note>, impl Watching) {
+fn attach(host: &Host, service: usize) -> (Receiver<DecisionInput>, impl RolloutObserver) {
     let (notes, receiver) = bounded(1000);
     let zones = ["nave-2", "nave-1"].map(String::from);
     let tenants = ["dulces-antigua", "licores-lago", "cafetera-sur"].map(String::from);
@@ -136,9 +136,9 @@
     (receiver, watcher)
 }
 
-fn next_table(receiver: &Receiver<Note>) -> Arc<PermitTable> {
+fn next_table(receiver: &Receiver<DecisionInput>) -> Arc<PermitTable> {
     match receiver.recv_timeout(Duration::from_secs(20)).expect("no table was sent") {
-        Note::Told(Event::PermitTable(table)) => table,
+        DecisionInput::Event(Event::PermitTable(table)) => table,
         _ => panic!("not a table"),
     }
 }
@@ -161,7 +161,7 @@
     );
     let unknown_names = host.attach(0, &["nave-1".into()], &[], bounded(1).0);
     assert!(unknown_names.err().unwrap().contains("no zone `nave-2`"));
-    watch.told(&milletwing_marshal::wire::news(
+    watch.stage_reported(&milletwing_marshal::wire::stage_report(
         [7.0, 2.0, 1.0, 0.0],
         milletwing_decision::interface::Phase::Released,
         false,
@@ -175,7 +175,9 @@
         assert!(!table.released.contains(&(Build(2), ZoneId(1), TenantId(0))));
     }
     let last = prensa.try_iter().last();
-    let Some(Note::Told(Event::PermitTable(last))) = last else { panic!("the table was not sent again") };
+    let Some(DecisionInput::Event(Event::PermitTable(last))) = last else {
+        panic!("the table was not sent again")
+    };
     assert!(last.released.contains(&(Build(7), ZoneId(1), TenantId(1))));
     host.stop();
     let mut restart_settings = settings(&folder.0, "0.02");
@@ -298,7 +300,7 @@
     assert!(tables.iter().all(|tables| next_table(tables).in_rollout.is_empty()), "no instance leads yet");
     register.lock().unwrap().proposals_to_lose = 1; // the leader proposes again after a time-out
     register.lock().unwrap().leader = 0;
-    let table_in_rollout = |tables: &Receiver<Note>| {
+    let table_in_rollout = |tables: &Receiver<DecisionInput>| {
         std::iter::repeat_with(|| next_table(tables)).find(|t| !t.in_rollout.is_empty()).unwrap()
     };
     let [first, other] = [table_in_rollout(&tables[0]), table_in_rollout(&tables[1])];
@@ -311,7 +313,7 @@
     let refused = milletwing_admin::call(hosts[1].1, &set_verdict("on")).unwrap_err();
     assert!(refused.contains("does not lead its group"), "{refused}");
     milletwing_admin::call(hosts[0].1, &set_verdict("on")).unwrap();
-    let table_released = |tables: &Receiver<Note>| {
+    let table_released = |tables: &Receiver<DecisionInput>| {
         let entry = (Build(7), ZoneId(1), TenantId(1));
         std::iter::repeat_with(|| next_table(tables)).find(|table| table.released.contains(&entry)).unwrap()
     };
@@ -320,7 +322,7 @@
     register.lock().unwrap().members[0].0 = true;
     register.lock().unwrap().leader = 1;
     milletwing_admin::call(hosts[1].1, &set_verdict("back")).unwrap();
-    let table_withdrawn = |tables: &Receiver<Note>| {
+    let table_withdrawn = |tables: &Receiver<DecisionInput>| {
         std::iter::repeat_with(|| next_table(tables))
             .find(|table| !table.released.iter().any(|(b, ..)| *b == Build(7)))
     };
