--- a/crates/marshal/src/intake.rs
+++ b/crates/marshal/src/intake.rs
@@ -151,23 +151,23 @@
 /// Closes idle connections above the eviction threshold, in a thread that ends when the number is below it. Guards
 /// against periodic checks every few milliseconds in hundreds of marshals that have few connections.
 fn start_idle_eviction(intake: &Arc<Intake>) {
-    let crowded = |intake: &Intake| {
+    let above_threshold = |intake: &Intake| {
         intake.clients.len() >= intake.admission.limits.idle_eviction_threshold
             && !intake.accepting_closed.load(SeqCst)
     };
-    if !crowded(intake) || intake.evicting.swap(true, SeqCst) {
+    if !above_threshold(intake) || intake.evicting.swap(true, SeqCst) {
         return;
     }
     let shared = intake.clone();
     let work = move || loop {
-        while crowded(&shared) {
+        while above_threshold(&shared) {
             std::thread::sleep(shared.admission.limits.idle_eviction_interval);
             let ended = shared.clients.evict_idle(&shared.admission.limits);
             shared.counters.gave_way.fetch_add(ended as u64, Relaxed);
         }
         shared.evicting.store(false, SeqCst);
         // Checked once more: a connection accepted in between found this thread still registered.
-        if !crowded(&shared) || shared.evicting.swap(true, SeqCst) {
+        if !above_threshold(&shared) || shared.evicting.swap(true, SeqCst) {
             return;
         }
     };
--- a/crates/marshal/src/route.rs
+++ b/crates/marshal/src/route.rs
@@ -336,7 +336,7 @@
         match due {
             TimerEvent::Module(key) => self.deliver(Event::Timer(key)),
             TimerEvent::Vote(number) => self.vote_answered(number, Err(Outcome::Timeout)),
-            // Whoever carries the attempt reports its end. A socket's own timeout may fire up to an eighth late.
+            // The component that carries the attempt reports its end. A socket's own timeout may fire up to an eighth late.
             TimerEvent::Attempt(id, attempt) => self.time_out_attempt(&id, attempt, timer),
             TimerEvent::ResponseOverdue(id) => {
                 let Some(tracked) = self.requests.get_mut(&id).filter(|tracked| tracked.due == Some(timer))
@@ -447,12 +447,12 @@
         }
     }
 
-    fn respond(&mut self, id: &RequestId, word: LocalResponse) {
+    fn respond(&mut self, id: &RequestId, response: LocalResponse) {
         let Some(tracked) = self.requests.get(id) else { return };
         if tracked.request.claim() {
-            let refused = matches!(word, LocalResponse::Refused(_));
+            let refused = matches!(response, LocalResponse::Refused(_));
             increment(if refused { &self.context.counters.refused } else { &self.context.counters.failed });
-            if !self.context.responses.enqueue(tracked.request.clone(), word) {
+            if !self.context.responses.enqueue(tracked.request.clone(), response) {
                 increment(&self.context.counters.defects);
                 log::error!("the response queue is full; no response to {}", id.0);
             }
--- a/crates/marshal/src/send.rs
+++ b/crates/marshal/src/send.rs
@@ -79,7 +79,7 @@
     /// Not written yet.
     Waiting,
     /// Bound to a connection.
-    AttemptHandle(Arc<NodeConnection>),
+    InFlight(Arc<NodeConnection>),
     /// Cancelled by the module.
     Cancelled,
     /// Timed out.
@@ -134,7 +134,7 @@
         let mut state = locked(&self.state);
         match &*state {
             AttemptState::Ended | AttemptState::Cancelled | AttemptState::TimedOut => return,
-            AttemptState::AttemptHandle(connection) => {
+            AttemptState::InFlight(connection) => {
                 let _ = connection.stream.shutdown(Shutdown::Both); // it may already be closed
             }
             AttemptState::Waiting => {}
@@ -155,7 +155,7 @@
     /// Releases a connection on which the request was never written completely; false if the attempt was aborted.
     fn unbind(&self) -> bool {
         let mut state = locked(&self.state);
-        let in_flight = matches!(*state, AttemptState::AttemptHandle(_));
+        let in_flight = matches!(*state, AttemptState::InFlight(_));
         if in_flight {
             *state = AttemptState::Waiting;
         }
@@ -167,7 +167,7 @@
         let mut state = locked(&self.state);
         let waiting = matches!(*state, AttemptState::Waiting);
         if waiting {
-            *state = AttemptState::AttemptHandle(connection.clone());
+            *state = AttemptState::InFlight(connection.clone());
         }
         waiting
     }
@@ -175,7 +175,7 @@
     /// Ends the attempt. True if its connection can be reused, false if it was shut down.
     fn release(&self) -> bool {
         let mut state = locked(&self.state);
-        let reusable = matches!(*state, AttemptState::AttemptHandle(_));
+        let reusable = matches!(*state, AttemptState::InFlight(_));
         *state = AttemptState::Ended;
         reusable
     }
@@ -195,7 +195,7 @@
     fn describe(&self) -> String {
         let state = match &*locked(&self.state) {
             AttemptState::Waiting => "waiting",
-            AttemptState::AttemptHandle(_) => "out",
+            AttemptState::InFlight(_) => "out",
             AttemptState::Cancelled => "cancelled",
             AttemptState::TimedOut => "late",
             AttemptState::Ended => "ended",
@@ -505,19 +505,9 @@
         }
         attempt.streaming.store(true, SeqCst);
         let started = *attempt.response_at.get_or_init(Instant::now);
-        let _ = self.inputs.send(DecisionInput::StreamStarted(attempt.request.id.clone(), attempt.number)); // the decision thread ends only when the marshal stops
-                                                                                                            // From here
-                                                                                                            // on the
-                                                                                                            // outcome
-                                                                                                            // is
-                                                                                                            // determined
-                                                                                                            // by the
-                                                                                                            // node or
-                                                                                                            // the
-                                                                                                            // client,
-                                                                                                            // whoever
-                                                                                                            // ended the
-                                                                                                            // wait.
+        let _ = self.inputs.send(DecisionInput::StreamStarted(attempt.request.id.clone(), attempt.number));
+        // Ignored if the decision thread has ended, which it does only when the marshal stops. From here on the outcome is
+        // determined by the node or the client, whoever ended the wait.
         let client_gone = || {
             increment(&self.counters.gone);
             Ok((Outcome::Cancelled, false))
