--- a/crates/decision/src/policy.rs
+++ b/crates/decision/src/policy.rs
@@ -1,6 +1,5 @@
-//! All decisions of a marshal, by topic: `requests` sends, `cap` and `pick` choose a node, `cold` protects
-//! cold nodes, `evidence` judges builds, `votes` casts votes. This file holds event dispatch, the ends of
-//! attempts, the node list and shared constants. Inputs and outputs are defined in `interface.rs`.
+//! All decisions of a marshal: `requests` sends, `cap` and `pick` choose a node, `cold` protects cold nodes,
+//! `evidence` judges, `votes` votes; here: events, ends of attempts, the node list. See `interface.rs`.
 
 mod cap;
 mod cold;
@@ -11,26 +10,22 @@
 
 use crate::interface::*;
 use crate::state::*;
-use crate::statistics::{FailureExcess, PeriodCounts, SeededRng, Sums};
+use crate::statistics::{EventTimes, FailureExcess, PeriodCounts, SeededRng, Sums};
 pub use milletwing_sequential_test::adjusted_test;
 use milletwing_sequential_test::{ALPHA, BURN_IN, COVARIATE_WINDOW, FILL, HOLD_P, LOOKS, MIN_EFFECT, MIN_N};
 use statrs::distribution::{Binomial, DiscreteCDF};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// An attempt that takes longer than this many mean latencies of the earlier build scores as a time-out.
-const SLOW_FACTOR: f64 = 8.0;
-/// Minimum weight of a new value in a running mean.
-const MIN_WEIGHT: f64 = 0.1;
-/// Unanswered attempts in a row that eject a node, the first ejection time, the share that means overload.
-const MAX_UNANSWERED: u32 = 3;
-const FIRST_BACKOFF: Ms = Ms(1000.0);
-const WIDESPREAD: f64 = 0.2;
-/// Retry tokens that each request earns: limits the load of retries under overload.
-const RETRY_SHARE: f64 = 0.1;
+const SLOW_FACTOR: f64 = 8.0; // an attempt of more mean latencies of the earlier build scores as a time-out
+const MIN_WEIGHT: f64 = 0.1; // minimum weight of a new value in a running mean
+const MAX_UNANSWERED: u32 = 3; // attempts in a row without an answer that eject a node
+const BACKOFF: Ms = Ms(1000.0); // the first ejection time, and the base of other pauses
+const WIDESPREAD: f64 = 0.2; // the share of unanswered attempts that means overload
+const RETRY_SHARE: f64 = 0.1; // retry tokens per request: limits the load of retries under overload
 const RESET_RETRY_COST: f64 = 0.2; // of a retry after a reset, while under `RETRY_SHARE` of answers are late
 const MAX_RETRY_TOKENS: f64 = 10.0;
-const RATE_WINDOW: Ms = Ms(2000.0); // for this marshal's own request rate
+const WINDOW: Ms = Ms(2000.0); // for this marshal's own request rate
 const PERIOD: Ms = Ms(100.0); // of the timer that drives votes and discovery
 
 /// The decision logic of one marshal.
@@ -39,8 +34,7 @@
     settings: Settings,
     rng: SeededRng,
     now: Ms,
-    /// Whether this batch of events follows a pause in which the marshal's process did not run.
-    stalled: bool,
+    stalled: bool, // whether this batch of events follows a pause in which the process did not run
     nodes: BTreeMap<NodeId, Node>,
     /// Nodes in service by build [earlier, new] and set [own zone, all, connected]; their warm capacity in
     /// machines [newest build, all]; whether requests are rare compared to nodes.
@@ -50,21 +44,18 @@
     requests: BTreeMap<RequestId, Request>,
     attempts: BTreeMap<(RequestId, u32), Attempt>,
     traffic: Traffic,
-    limits: EvidenceLimits,
+    limit: EvidenceLimits,
     stats: AnswerStats,
     keys_on_newest: BTreeSet<Key>,
     report: Option<StageReport>,
     to_revert: BTreeSet<Build>,
     trial: Trial,
-    /// Unadjusted failures of the build before the newest, and of the newest in its present stage.
-    failure_sums: Vec<[Sums; 2]>,
-    /// The same as the platform counted them over all marshals, since the newest build was offered.
-    platform_counts: PeriodCounts,
-    dose_response: DoseResponse,
+    failures: Vec<[Sums; 2]>, // unadjusted: of the build before the newest, of the newest in its stage
+    platform_counts: PeriodCounts, // the same, over all marshals, since the newest build was offered
+    response: DoseResponse,
     calls: Calls,
     group: GroupState,
-    /// The permit table, and the time until which its `in_rollout` entries are valid.
-    permits: Option<(Arc<PermitTable>, Ms)>,
+    permits: Option<(Arc<PermitTable>, Ms)>, // and until when its `in_rollout` entries are valid
 }
 
 impl Marshal {
@@ -81,19 +72,22 @@
         let level = (1..50).map(|i| f64::from(i) * 0.01).take_while(|&p| quorum_error(p) <= ALPHA).last();
         let alpha = ALPHA.max(level.unwrap_or(0.0) * 0.5);
         let strictness = alpha.ln() / ALPHA.ln();
-        let (min_n, slow_factor) = ((MIN_N * strictness).ceil(), SLOW_FACTOR * strictness);
-        let min_effect = MIN_EFFECT / strictness.powi(2);
         let interval = Ms(1000.0 * f64::from(settings.marshals) / settings.votes_per_s.max(0.1));
         Marshal {
-            limits: EvidenceLimits { alpha, min_n, slow_factor, min_effect },
+            limit: EvidenceLimits {
+                alpha,
+                n: (MIN_N * strictness).ceil(),
+                slow: SLOW_FACTOR * strictness,
+                min_harm: MIN_EFFECT / strictness.powi(2),
+            },
             rng: SeededRng::new(seed),
             traffic: Traffic::new(classes, MAX_RETRY_TOKENS),
             stats: AnswerStats { earlier_scores: vec![VecDeque::new(); classes], ..AnswerStats::default() },
-            failure_sums: sums.clone(),
+            failures: sums.clone(),
             platform_counts: PeriodCounts::new(classes),
             trial: Trial { sums, ..Trial::default() },
-            dose_response: DoseResponse { latency_ratio: 1.0, ..DoseResponse::default() },
-            calls: Calls { backoff: FIRST_BACKOFF, interval, ..Calls::default() },
+            response: DoseResponse { latency_ratio: 1.0, ..DoseResponse::default() },
+            calls: Calls { backoff: BACKOFF, interval, ..Calls::default() },
             settings,
             ..Marshal::default()
         }
@@ -107,7 +101,7 @@
             Event::Start | Event::Timer(_) => {
                 out.push(Action::SetTimer("beat".into(), now + PERIOD));
                 // While no build is on trial nothing else trims these, and they would grow without bound.
-                self.traffic.trim_requests(now - self.settings.exposure_window);
+                self.traffic.taken.iter_mut().fold(0, |n, t| n + t.trim(now - self.settings.exposure_window));
                 self.subscribe(out);
                 self.evaluate(out);
                 self.refresh_candidates();
@@ -117,7 +111,9 @@
             Event::FleetUpdate(kind, entries) => self.update_fleet(kind, entries),
             Event::StageReport(report) => self.handle_report(report, out),
             Event::Request { id, class, key, tenant, expires_in, work_hint, .. } => {
-                self.traffic.add_request(class, now);
+                self.traffic.request_counts[class.0] += 1.0;
+                self.traffic.taken[class.0].push(now);
+                self.traffic.recent.push(now);
                 self.traffic.retry_tokens = (self.traffic.retry_tokens + RETRY_SHARE).min(MAX_RETRY_TOKENS);
                 let c = &self.settings.classes[class.0];
                 let target = now + c.latency_target + work_hint.unwrap_or_default() * c.target_per_work;
@@ -126,7 +122,7 @@
             Event::ClientGone(id) => {
                 // The abandoned attempt, always the last one sent, would only delay other requests.
                 let gone = self.requests.remove(&id).filter(|_| self.settings.may_cancel);
-                out.extend(gone.map(|request| Action::Cancel(id, request.attempts - 1)));
+                out.extend(gone.map(|request| Action::Cancel(id, request.tries - 1)));
             }
             Event::Completed { id, attempt, node, outcome, latency, is_final, .. } => {
                 self.completed(id, attempt, (node, outcome, latency), is_final, out);
@@ -134,7 +130,7 @@
             Event::WrongAnswer { node, class, .. } => self.record_wrong_answer(&node, class),
             Event::GroupMessage(message) => self.handle_group_message(message, out),
             // An older table never replaces a newer one; the same table again renews its validity.
-            Event::PermitTable(new) if self.permits.as_ref().is_some_and(|p| p.0.version > new.version) => {}
+            Event::PermitTable(t) if self.permits.as_ref().is_some_and(|(p, _)| p.version > t.version) => {}
             Event::PermitTable(table) => self.permits = Some((table.clone(), now + table.ttl)),
             Event::Metrics { age, class, build, attempts, failed, .. } => {
                 let newest = usize::from(self.is_newest(build));
@@ -148,8 +144,8 @@
     fn completed(&mut self, id: RequestId, number: u32, end: Ended, is_final: bool, out: &mut Vec<Action>) {
         let (node, outcome, latency) = end;
         // A client that left early shows slowness only if it waited as long as a slow attempt takes.
-        let slow = latency.0 > self.limits.slow_factor * self.stats.mean_latency.value;
-        let outcome = if outcome == Outcome::Cancelled && slow { Outcome::Timeout } else { outcome };
+        let slow = outcome == Outcome::Cancelled && latency.0 > self.limit.slow * self.stats.latency.value;
+        let outcome = if slow { Outcome::Timeout } else { outcome };
         let Some(attempt) = self.attempts.remove(&(id.clone(), number)) else { return };
         self.update_health(&node, attempt.node_inflight, outcome, latency);
         let Some(mut request) = self.requests.remove(&id) else {
@@ -186,7 +182,7 @@
             let moves = earlier_left && outcome == Outcome::Ok && self.is_newest(build);
             self.keys_on_newest.extend(request.key.filter(|_| moves));
         } else if retry {
-            let cheap = outcome == Outcome::Reset && self.dose_response.late_share < RETRY_SHARE;
+            let cheap = outcome == Outcome::Reset && self.response.late_rate < RETRY_SHARE;
             self.traffic.retry_tokens -= if cheap { RESET_RETRY_COST } else { 1.0 };
             self.send(id, request, out);
         } else {
@@ -206,7 +202,7 @@
     /// Applies a discovery message. A node that is draining or gone gets no further request (rule 3).
     fn update_fleet(&mut self, kind: FleetUpdateKind, entries: Vec<NodeEntry>) {
         self.calls.subscribed = matches!(kind, FleetUpdateKind::Update | FleetUpdateKind::Replace);
-        self.calls.backoff = if self.calls.subscribed { FIRST_BACKOFF } else { self.calls.backoff };
+        self.calls.backoff = if self.calls.subscribed { BACKOFF } else { self.calls.backoff };
         if matches!(kind, FleetUpdateKind::Replace | FleetUpdateKind::Restored) {
             let listed: BTreeSet<&NodeId> = entries.iter().map(|entry| &entry.node).collect();
             self.nodes.retain(|id, _| listed.contains(id));
@@ -216,15 +212,18 @@
                 self.nodes.remove(&entry.node);
                 continue;
             }
-            let (now, rng) = (self.now, &mut self.rng);
-            let mut new_node = |entry| Node::new(entry, FIRST_BACKOFF, rng.fraction(), now);
+            let (filled, rng) = (self.now, &mut self.rng);
+            let mut new_node =
+                |entry| Node { entry, ejection: BACKOFF, tokens: rng.fraction(), filled, ..Node::default() };
             match self.nodes.get_mut(&entry.node) {
                 Some(node) if node.entry.started == entry.started && node.entry.build == entry.build => {
                     node.entry = entry;
                 }
                 // A restart under a known id: attempts still in flight keep counting.
                 Some(node) => *node = Node { inflight: node.inflight, ..new_node(entry) },
-                None => drop(self.nodes.insert(entry.node.clone(), new_node(entry))),
+                None => {
+                    self.nodes.insert(entry.node.clone(), new_node(entry));
+                }
             }
         }
         self.refresh_candidates();
--- a/crates/decision/src/policy/cold.rs
+++ b/crates/decision/src/policy/cold.rs
@@ -2,9 +2,8 @@
 
 use super::*;
 
-/// A machine is assumed to bear this multiple of its peak answer rate, but at least this part of requests.
-const HEADROOM: f64 = 1.25;
-const MIN_BORNE: f64 = 0.25;
+const HEADROOM: f64 = 1.25; // a machine is assumed to bear this multiple of its peak answer rate,
+const MIN_BORNE: f64 = 0.25; // but at least this part of requests
 
 impl Marshal {
     /// The fraction of its capacity that a node is certain to have.
@@ -22,12 +21,12 @@
         if warmth >= 1.0 {
             return true;
         }
-        let requests = self.traffic.recent.trim(self.now - RATE_WINDOW) as f64 / self.warm[1].max(1.0);
-        let borne = requests.min((self.traffic.peak_answers * HEADROOM).max(requests * MIN_BORNE));
-        let rate = borne / RATE_WINDOW.0 * warmth * self.settings.overload_multiple * 0.4;
+        let requests = self.traffic.recent.trim(self.now - WINDOW) as f64 / self.warm[1].max(1.0);
+        let borne = requests.min((self.traffic.peak_answers * HEADROOM).max(requests * MIN_BORNE)) / WINDOW.0;
+        let rate = borne * warmth * self.settings.overload_multiple * 0.4;
         let (now, Some(node)) = (self.now, self.nodes.get_mut(id)) else { return false };
-        node.cold_tokens = (node.cold_tokens + rate * (now - node.tokens_updated).0).min(1.0 + rate * 300.0);
-        node.tokens_updated = now;
-        node.cold_tokens >= 1.0
+        node.tokens = (node.tokens + rate * (now - node.filled).0).min(1.0 + rate * 300.0);
+        node.filled = now;
+        node.tokens >= 1.0
     }
 }
--- a/crates/decision/src/policy/pick.rs
+++ b/crates/decision/src/policy/pick.rs
@@ -2,8 +2,7 @@
 
 use super::*;
 
-/// A latency enters a node's mean at no more than this many times the mean.
-const OUTLIER: f64 = 4.0;
+const OUTLIER: f64 = 4.0; // a latency enters a node's mean at no more than this many times the mean
 /// A request leaves the build drawn for it when that build's candidate has over this many times as many
 /// requests in flight as the other's plus one. Speed doesn't count: a slow build must keep giving evidence.
 const SPILL_FACTOR: u32 = 2;
@@ -16,10 +15,10 @@
     /// it has no usable node or far more in flight (`SPILL_FACTOR`), which protects builds with few nodes.
     pub(super) fn choose_node(&mut self, request: &Request) -> Option<(NodeId, f64)> {
         // The cap rises before the machines of its stage run: no more than the new build's warm share.
-        let even = self.warm[0] / self.warm[1].max(1.0);
-        let on_trial = |n: &&StageReport| n.phase == Phase::Trial && !self.to_revert.contains(&n.build);
-        let report = self.report.as_ref().filter(on_trial);
-        let share = report.map_or(0.0, |n| (FILL * self.granted_cap(n.build, n.cap)).min(even));
+        let max = self.warm[0] / self.warm[1].max(1.0);
+        let live = |n: &&StageReport| n.phase == Phase::Trial && !self.to_revert.contains(&n.build);
+        let share =
+            self.report.as_ref().filter(live).map_or(0.0, |n| (FILL * self.granted(n.build, n.cap)).min(max));
         let prefer_new = self.rng.fraction() < share;
         let sticky = request.key.as_ref().is_some_and(|key| self.keys_on_newest.contains(key));
         let build = self.candidates[1][1].first().map(|id| self.nodes[id].entry.build);
@@ -35,19 +34,18 @@
     }
 
     /// Compares two random nodes of this zone, two of any zone and, where connections are often refused, two
-    /// connected ones. Takes the one with the best chance of an answer in time, less the cross-zone cost.
+    /// connected ones. Takes the best chance of an answer in time at equal load, less the cross-zone cost.
     fn best_of_two(&mut self, request: &Request, side: usize, sticky: bool) -> Option<(NodeId, f64)> {
         let mut best: Option<(NodeId, f64, f64)> = None;
-        for set in 0..if self.stats.refused_rate < WIDESPREAD { 2 } else { 3 } {
+        for set in 0..if self.stats.refused < WIDESPREAD { 2 } else { 3 } {
             let pool = std::mem::take(&mut self.candidates[side][set]);
             for _ in 0..2 {
                 let Some(id) = self.draw_usable(&pool, request, sticky) else { break };
                 let latency = self.predicted_latency(&id);
                 let node = &self.nodes[&id];
                 let far = f64::from(u8::from(self.settings.zone != Some(node.entry.zone)));
-                let connects = if node.connected { 1.0 } else { 1.0 - self.stats.refused_rate };
+                let connects = if node.connected { 1.0 } else { 1.0 - self.stats.refused };
                 let failing = 1.0 + FAILURE_PENALTY * (node.failure_rate - self.stats.failure_rate).max(0.0);
-                // Scaled to the same load on every node.
                 let time = failing * latency * (node.mean_inflight + 1.0) / (self.stats.mean_inflight + 1.0);
                 let in_time = -(-(request.target - self.now).0.max(1.0) / time).exp_m1();
                 let cost = far * self.settings.cross_zone_cost - connects * in_time;
@@ -99,8 +97,8 @@
 
     /// Recomputes the candidates (builds on trial or reverted count as new), the warm capacity and `sparse`.
     pub(super) fn refresh_candidates(&mut self) {
-        let requests = self.traffic.recent.trim(self.now - RATE_WINDOW) as f64;
-        self.sparse = requests * (self.settings.warmup / RATE_WINDOW) < 4.0 * self.nodes.len() as f64;
+        let requests = self.traffic.recent.trim(self.now - WINDOW) as f64 * (self.settings.warmup / WINDOW);
+        self.sparse = requests < 4.0 * self.nodes.len() as f64;
         self.candidates = Default::default();
         self.warm = [0.0; 2];
         for (id, node) in self.nodes.iter().filter(|(_, n)| n.entry.state == NodeState::InService) {
@@ -116,7 +114,7 @@
             self.warm[0] += if self.is_newest(build) { part } else { 0.0 };
             self.warm[1] += warmth;
         }
-        let answers = self.traffic.recent_answers.trim(self.now - RATE_WINDOW) as f64 / self.warm[1].max(1.0);
+        let answers = self.traffic.recent_answers.trim(self.now - WINDOW) as f64 / self.warm[1].max(1.0);
         self.traffic.peak_answers = self.traffic.peak_answers.max(answers);
     }
 
@@ -124,54 +122,53 @@
     /// ages, the mean of similar nodes (same zone and machine kind) takes its place.
     fn predicted_latency(&self, id: &NodeId) -> f64 {
         let node = &self.nodes[id];
-        let similar = self.stats.similar_nodes.get(&(node.entry.zone, node.entry.machine_kind));
-        let similar = similar.map_or(self.stats.mean_latency.value.max(1.0), |similar| similar.0);
-        let fresh = (-((self.now - node.last_answer) / MEMORY)).exp();
-        let latency = node.mean_latency.map_or(similar, |own| similar + fresh * (own - similar));
-        latency / self.warmth(node) * (f64::from(node.inflight) + 1.0) / (node.mean_inflight + 1.0)
+        let similar = self.stats.similar.get(&(node.entry.zone, node.entry.machine_kind));
+        let similar = similar.map_or(self.stats.latency.value.max(1.0), |similar| similar.0);
+        let fresh = (-((self.now - node.answered) / MEMORY)).exp();
+        let latency = node.latency.map_or(similar, |m| similar + fresh * (m - similar)) / self.warmth(node);
+        latency * (f64::from(node.inflight) + 1.0) / (node.mean_inflight + 1.0)
     }
 
     /// Updates a node's running means. Consecutive attempts without an answer eject it, each time for longer.
-    pub(super) fn update_health(&mut self, id: &NodeId, inflight: f64, outcome: Outcome, latency: Ms) {
+    pub(super) fn update_health(&mut self, id: &NodeId, inflight: f64, outcome: Outcome, took: Ms) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(id) else { return };
         node.inflight = node.inflight.saturating_sub(1);
         if outcome == Outcome::NotSent || outcome == Outcome::Cancelled {
             return;
         }
-        let stats = &mut self.stats;
         let refused = f64::from(u8::from(outcome == Outcome::ConnectFailed));
-        stats.refused_rate += if node.connected { 0.0 } else { MIN_WEIGHT * (refused - stats.refused_rate) };
+        self.stats.refused += if node.connected { 0.0 } else { MIN_WEIGHT * (refused - self.stats.refused) };
         node.connected = !matches!(outcome, Outcome::ConnectFailed | Outcome::Reset);
         let failed = f64::from(u8::from(outcome != Outcome::Ok));
         node.failure_rate += MIN_WEIGHT * (failed - node.failure_rate);
-        stats.failure_rate += MIN_WEIGHT * 0.2 * (failed - stats.failure_rate);
+        self.stats.failure_rate += MIN_WEIGHT * 0.2 * (failed - self.stats.failure_rate);
         let unanswered = matches!(outcome, Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset);
-        stats.unanswered_rate += MIN_WEIGHT * 0.2 * (f64::from(u8::from(unanswered)) - stats.unanswered_rate);
+        self.stats.unanswered += MIN_WEIGHT * 0.2 * (f64::from(u8::from(unanswered)) - self.stats.unanswered);
         if !self.stalled && (outcome == Outcome::Ok || outcome == Outcome::Timeout) {
             let weight = |since: Ms| MIN_WEIGHT.max(-(-((now - since) / MEMORY)).exp_m1());
-            let group = (node.entry.zone, node.entry.machine_kind);
-            let similar = stats.similar_nodes.entry(group).or_insert((latency.0, now));
-            similar.0 += weight(similar.1) * (latency.0.min(OUTLIER * similar.0) - similar.0);
+            let similar =
+                self.stats.similar.entry((node.entry.zone, node.entry.machine_kind)).or_insert((took.0, now));
+            similar.0 += weight(similar.1) * (took.0.min(OUTLIER * similar.0) - similar.0);
             similar.1 = now;
-            let (mean, own_weight) = (node.mean_latency.unwrap_or(similar.0), weight(node.last_answer));
+            let mean = node.latency.unwrap_or(similar.0);
             // Limited: one costly request must not make a fast node look overloaded; overload shows in a few.
-            node.mean_latency = Some(mean + own_weight * (latency.0.min(OUTLIER * mean) - mean));
-            node.mean_inflight += own_weight * (inflight - node.mean_inflight); // with the latency it caused
-            node.last_answer = now;
-            stats.mean_inflight += MIN_WEIGHT * 0.2 * (inflight - stats.mean_inflight);
+            node.latency = Some(mean + weight(node.answered) * (took.0.min(OUTLIER * mean) - mean));
+            node.mean_inflight += weight(node.answered) * (inflight - node.mean_inflight); // with its latency
+            node.answered = now;
+            self.stats.mean_inflight += MIN_WEIGHT * 0.2 * (inflight - self.stats.mean_inflight);
         }
         if unanswered {
             node.unanswered += 1;
             // Many unanswered attempts everywhere are overload: ejections would load the other nodes more.
             // A reset may be one bad answer; a dead node refuses the next connection at once.
-            if stats.unanswered_rate < WIDESPREAD && (node.unanswered >= MAX_UNANSWERED || refused > 0.0) {
-                node.ejected_until = now + node.ejection_time;
-                node.ejection_time = (node.ejection_time * 2.0).min(FIRST_BACKOFF * 8.0);
+            if self.stats.unanswered < WIDESPREAD && (node.unanswered >= MAX_UNANSWERED || refused > 0.0) {
+                node.ejected_until = now + node.ejection;
+                node.ejection = (node.ejection * 2.0).min(BACKOFF * 8.0);
             }
         } else {
             node.unanswered = 0;
-            node.ejection_time = FIRST_BACKOFF;
+            node.ejection = BACKOFF;
         }
     }
 }
--- a/crates/decision/src/policy/requests.rs
+++ b/crates/decision/src/policy/requests.rs
@@ -2,8 +2,7 @@
 
 use super::*;
 
-/// A predicted latency above this part of the tightest target is overload; values from 0.3 to 1.1 were tried.
-const OVERLOAD_PART: f64 = 0.8;
+const OVERLOAD_PART: f64 = 0.8; // of the tightest target: predictions above are overload; 0.3 to 1.1 tried
 const MAX_LOAD_GROWTH: f64 = 4.0; // over the load a latency was measured at; beyond, slowness is a guess
 
 impl Marshal {
@@ -15,13 +14,13 @@
         let class = &self.settings.classes[request.class.0];
         // Overload: a late answer earns little and delays others. A node without our requests is still tried,
         // but ever less often if requests are sparse: outdated statistics must not shut it out for good.
-        let tightest = self.settings.classes.iter().map(|c| c.latency_target).fold(Ms(f64::MAX), Ms::min);
-        let limit = tightest.min(request.deadline - self.now) * OVERLOAD_PART;
+        let target = self.settings.classes.iter().fold(class.latency_target, |t, c| t.min(c.latency_target));
+        let limit = target.min(request.deadline - self.now) * OVERLOAD_PART;
         let at = &self.nodes[&node];
         let load_growth = (f64::from(at.inflight) + 1.0) / (at.mean_inflight + 1.0);
-        let overload = predicted / (load_growth / MAX_LOAD_GROWTH).max(1.0) / limit.0.max(1.0);
-        let probe = if self.sparse { overload.powi(-3) } else { 1.0 };
-        if request.attempts == 0 && overload > 1.0 && (at.inflight > 0 || self.rng.fraction() > probe) {
+        let ratio = predicted / (load_growth / MAX_LOAD_GROWTH).max(1.0) / limit.0.max(1.0);
+        let p = if self.sparse { ratio.powi(-3) } else { 1.0 };
+        if request.tries == 0 && ratio > 1.0 && (self.nodes[&node].inflight > 0 || self.rng.fraction() > p) {
             return self.answer_unserved(id, &request, out);
         }
         let mut until = request.deadline;
@@ -31,30 +30,39 @@
             until = until.min(request.target);
         }
         // Leaves time for a retry. These time-outs are evidence, so they must be as rare on any machine kind.
-        let mean = self.stats.mean_by_kind.get(&(request.class, at.entry.machine_kind));
-        let usual = mean.filter(|_| self.dose_response.late_share < RETRY_SHARE).map(|mean| mean.value * 5.0);
-        let longest = usual.unwrap_or(SLOW_FACTOR * self.stats.mean_latency.value);
-        let first_timeout = Ms((class.latency_target.0 * 0.5).max(longest));
+        let mean = self.stats.mean_by_kind.get(&(request.class, self.nodes[&node].entry.machine_kind));
+        let usual = mean.filter(|_| self.response.late_rate < RETRY_SHARE).map(|mean| mean.value * 5.0);
+        let first_timeout =
+            Ms((class.latency_target.0 * 0.5).max(usual.unwrap_or(SLOW_FACTOR * self.stats.latency.value)));
         let repeatable = class.retry_safety != RetrySafety::AtMostOnce && self.traffic.retry_tokens >= 1.0;
-        if repeatable && request.attempts == 0 && first_timeout.0 < class.latency_target.0 * 0.75 {
+        if repeatable && request.tries == 0 && first_timeout.0 < class.latency_target.0 * 0.75 {
             until = until.min(self.now + first_timeout);
         }
-        let burn_in = Ms(BURN_IN as f64).max(self.settings.warmup);
-        let covariate = self.covariate(request.class);
-        let at = &self.nodes[&node];
-        let build = at.entry.build;
-        let is_evidence = !self.stalled && at.entry.started.is_none_or(|start| self.now - start >= burn_in);
-        let attempt = Attempt::new(request.class, at, self.now, covariate, is_evidence);
+        let (covariate, wait) = (self.covariate(request.class), Ms(BURN_IN as f64).max(self.settings.warmup));
+        let entry = &self.nodes[&node].entry;
+        let build = entry.build;
+        let attempt = Attempt {
+            class: request.class,
+            build,
+            machine_kind: entry.machine_kind,
+            location: (entry.zone, entry.cell),
+            sent: self.now,
+            covariate,
+            node_inflight: f64::from(self.nodes[&node].inflight),
+            is_evidence: !self.stalled && entry.started.is_none_or(|start| self.now - start >= wait),
+        };
         if self.trial_cap(build).is_some() {
-            self.traffic.add_exposed(build, request.class, self.now);
+            let n = self.settings.classes.len();
+            let times = self.traffic.exposed.entry(build).or_insert_with(|| vec![EventTimes::default(); n]);
+            times[request.class.0].push(self.now);
         }
         if let Some(n) = self.nodes.get_mut(&node) {
             n.inflight += 1;
-            n.cold_tokens -= 1.0;
+            n.tokens -= 1.0;
         }
         out.push(Action::Attempt { id: id.clone(), node: node.clone(), timeout: Some(until - self.now) });
-        self.attempts.insert((id.clone(), request.attempts), attempt);
-        request.attempts += 1;
+        self.attempts.insert((id.clone(), request.tries), attempt);
+        request.tries += 1;
         request.tried.push(node);
         self.requests.insert(id, request);
     }
@@ -64,27 +72,28 @@
         let class = &self.settings.classes[request.class.0];
         let safe = match class.retry_safety {
             RetrySafety::Idempotent => true,
-            RetrySafety::Deduplicated => request.first_run.is_none() || class.dedup_scope == DedupScope::All,
-            RetrySafety::AtMostOnce => request.first_run.is_none(),
+            safety => {
+                request.first_run.is_none()
+                    || (safety == RetrySafety::Deduplicated && class.dedup_scope == DedupScope::All)
+            }
         };
         let wait = self.settings.retry_after.then(|| class.latency_target.min(self.settings.max_retry_after));
         out.push(if safe { Action::Refuse(id, wait) } else { Action::Fail(id) });
-        let weight = f64::from(u8::from(request.attempts == 0)) * self.outcome_weight();
-        self.dose_response.add_late(true, weight);
+        let early = f64::from(u8::from(request.tries == 0));
+        self.response.late_rate += early * self.outcome_weight() * (1.0 - self.response.late_rate);
     }
 
     /// Whether the rules, the remaining time and the retry budget allow a further attempt.
     pub(super) fn may_retry(&self, request: &Request) -> bool {
         let class = &self.settings.classes[request.class.0];
-        let in_window = |sent: Ms| self.now + self.settings.tick < sent + class.dedup_window;
         let allowed = match (class.retry_safety, &request.first_run) {
             (_, None) | (RetrySafety::Idempotent, _) => true,
             (RetrySafety::AtMostOnce, Some(_)) => false,
-            (RetrySafety::Deduplicated, Some((_, _, sent))) => in_window(*sent),
+            (RetrySafety::Deduplicated, Some((_, _, sent))) => {
+                self.now + self.settings.tick < *sent + class.dedup_window
+            }
         };
-        let budget = self.traffic.retry_tokens >= 1.0 && request.attempts < self.settings.max_attempts;
-        allowed
-            && budget
-            && (request.target.min(request.deadline) - self.now).0 > self.stats.mean_latency.value
+        let budget = self.traffic.retry_tokens >= 1.0 && request.tries < self.settings.max_attempts;
+        allowed && budget && (request.target.min(request.deadline) - self.now).0 > self.stats.latency.value
     }
 }
--- a/crates/decision/src/policy/votes.rs
+++ b/crates/decision/src/policy/votes.rs
@@ -25,16 +25,15 @@
     /// Casts this marshal's vote, and repeats it when it expires or stays unanswered.
     pub(super) fn cast_vote(&mut self, out: &mut Vec<Action>) {
         let (Some(report), held) = (&self.report, self.trial.held_since.is_some()) else { return };
-        let (build, stage) = (report.build, report.stage);
-        let agreed = self.group.decided == Some((build, stage, Vote::Advance));
-        let vote = match (report.phase, self.to_revert.contains(&build), self.settings.control) {
+        let agreed = self.group.decided == Some((report.build, report.stage, Vote::Advance));
+        let vote = match (report.phase, self.to_revert.contains(&report.build), self.settings.control) {
             (Phase::Trial | Phase::Released, true, _) => Vote::Revert,
             (Phase::Trial, false, StageControl::Votes) if self.trial.passed || agreed => Vote::Advance,
             (Phase::Trial, false, StageControl::Timed) if held && !self.trial.passed => Vote::Hold,
             _ => return,
         };
-        let reverts = vote == Vote::Revert;
         if self.settings.group_decisions && vote != Vote::Hold {
+            let (build, stage) = (report.build, report.stage);
             // Only group decisions are voted for: by the leader where one vote is enough, by all instances
             // where several are needed. Guards against two instances that act on different judgements.
             if !self.group.decided.is_some_and(|(of, at, was)| (of, was) == (build, vote) && at <= stage)
@@ -43,24 +42,27 @@
                 out.extend(self.group.is_leader.then_some(Action::ProposeDecision { build, stage, vote }));
                 return;
             }
-            let needed = if reverts { self.settings.revert_votes } else { self.settings.advance_votes };
+            let needed =
+                if vote == Vote::Revert { self.settings.revert_votes } else { self.settings.advance_votes };
             if needed <= 1 && !self.group.is_leader {
                 return;
             }
         }
         if let Some(last) = &self.calls.last_vote {
-            let same = last.ballot == (build, stage, vote);
+            let same = last.ballot == (report.build, report.stage, vote);
             // Repeating a valid vote adds nothing: renewed late where the call budget is small for so many.
             let renewal = self.calls.interval.max(self.settings.vote_ttl * 0.5).min(self.settings.vote_ttl);
             let valid_for = if last.answered { renewal } else { self.settings.vote_answer_timeout };
-            let throttled = !reverts || last.ballot.2 == vote; // the first vote to revert does not wait
+            let throttled = vote != Vote::Revert || last.ballot.2 == vote; // a first vote to revert is not
             if (same && self.now < last.at + valid_for) || (throttled && self.now < self.calls.next_vote) {
                 return;
             }
         }
-        self.calls.next_vote = self.now + if reverts { PERIOD } else { self.calls.interval.max(PERIOD) };
-        self.calls.last_vote = Some(SentVote { ballot: (build, stage, vote), at: self.now, answered: false });
-        out.push(Action::CastVote { build, stage, vote });
+        self.calls.next_vote =
+            self.now + if vote == Vote::Revert { PERIOD } else { self.calls.interval.max(PERIOD) };
+        self.calls.last_vote =
+            Some(SentVote { ballot: (report.build, report.stage, vote), at: self.now, answered: false });
+        out.push(Action::CastVote { build: report.build, stage: report.stage, vote });
     }
 
     /// Handles a report on the newest build, or the answer to a vote.
@@ -69,7 +71,7 @@
             last.answered = report.outcome == Outcome::Ok;
             if !last.answered {
                 // Maybe lost: repeated after a random pause, or hundreds would call a full platform at once.
-                let pause = self.calls.interval.max(FIRST_BACKOFF * 2.0) * (0.5 * self.rng.fraction());
+                let pause = self.calls.interval.max(BACKOFF * 2.0) * (0.5 * self.rng.fraction());
                 last.at = Ms(f64::MIN);
                 self.calls.next_vote = self.calls.next_vote.max(self.now + pause);
             }
@@ -80,19 +82,19 @@
         }
         if let Some((build, _, _, cap)) = before {
             if build == report.build && report.cap != cap {
-                self.traffic.lowered_cap = (report.cap < cap).then_some((self.now, cap));
-                // a raise counts all
+                // Only a lower cap counts attempts anew: a raise counts all.
+                self.traffic.lowered = (report.cap < cap).then_some((self.now, cap));
             }
             if build < report.build {
-                self.traffic.lowered_cap = None;
-                self.dose_response.restart(self.warm[1]);
+                (self.traffic.lowered, self.response.dose, self.response.sums) = (None, 0.0, Sums::default());
+                self.response.initial_capacity = self.warm[1];
                 self.group.objecting = false;
                 self.platform_counts = PeriodCounts::new(self.settings.classes.len());
                 self.traffic.exposed.retain(|&exposed, _| exposed >= report.build);
                 self.keys_on_newest.clear();
                 // The next build is compared with this one, unless this one was rejected.
                 let kept = !self.to_revert.contains(&build);
-                for arms in self.failure_sums.iter_mut().filter(|arms| kept && arms[1].n > 0.0) {
+                for arms in self.failures.iter_mut().filter(|arms| kept && arms[1].n > 0.0) {
                     arms[0] = arms[1];
                 }
                 self.to_revert.retain(|&old| old >= report.build); // else the set would grow without bound
@@ -111,9 +113,8 @@
             let since = if is_new { self.now - report.age } else { Ms(f64::MIN) };
             self.trial = Trial { sums, since, ..Trial::default() };
             // Clean outcomes of earlier stages would hide harm that begins late; signs of harm are kept.
-            let all = self.failure_sums.iter().fold(Sums::default(), |sum, arms| sum.plus(&arms[1]));
-            let clean = all.y <= self.limits.min_effect * all.n;
-            for arms in self.failure_sums.iter_mut().filter(|_| !same || clean) {
+            let all = self.failures.iter().fold(Sums::default(), |sum, arms| sum.plus(&arms[1]));
+            for arms in self.failures.iter_mut().filter(|_| !same || all.y <= self.limit.min_harm * all.n) {
                 arms[1] = Sums::default();
             }
         }
--- a/crates/decision/src/state.rs
+++ b/crates/decision/src/state.rs
@@ -11,28 +11,24 @@
     pub entry: NodeEntry,
     pub inflight: u32,
     /// Running means of the latency and of this marshal's requests in flight at the time of each send.
-    pub mean_latency: Option<f64>,
+    pub latency: Option<f64>,
     pub mean_inflight: f64,
-    pub last_answer: Ms,
+    /// When it last answered.
+    pub answered: Ms,
     /// Running share of attempts that failed.
     pub failure_rate: f64,
     /// Errors and reported wrong answers since the node's start.
     pub errors: u32,
     /// Consecutive attempts without any answer.
     pub unanswered: u32,
+    /// Until when the node is ejected, and for how long the next ejection lasts.
     pub ejected_until: Ms,
-    pub ejection_time: Ms,
+    pub ejection: Ms,
     /// Whether this marshal holds a connection to the node, judging by the last attempt.
     pub connected: bool,
     /// Tokens of the budget for a cold node, and when they were last refilled.
-    pub cold_tokens: f64,
-    pub tokens_updated: Ms,
-}
-
-impl Node {
-    pub fn new(entry: NodeEntry, ejection_time: Ms, cold_tokens: f64, now: Ms) -> Node {
-        Node { entry, ejection_time, cold_tokens, tokens_updated: now, ..Node::default() }
-    }
+    pub tokens: f64,
+    pub filled: Ms,
 }
 
 /// A request that has not received its final answer.
@@ -44,7 +40,8 @@
     /// Time until which an answer earns its full value.
     pub target: Ms,
     pub deadline: Ms,
-    pub attempts: u32,
+    /// Attempts so far, and the nodes they went to.
+    pub tries: u32,
     pub tried: Vec<NodeId>,
     /// The first attempt that may have run: its node's zone and cell, and when it was sent.
     pub first_run: Option<(ZoneId, u32, Ms)>,
@@ -53,10 +50,25 @@
 }
 
 impl Request {
-    pub fn new(class: ClassId, key: Option<Key>, tenant: Option<TenantId>, target: Ms, deadline: Ms) -> Self {
+    pub fn new(
+        class: ClassId,
+        key: Option<Key>,
+        tenant: Option<TenantId>,
+        target: Ms,
+        deadline: Ms,
+    ) -> Request {
         let tenant = tenant.unwrap_or(PermitTable::NO_TENANT);
-        let (tried, first_run, pending_error) = (Vec::new(), None, None);
-        Request { class, key, tenant, target, deadline, attempts: 0, tried, first_run, pending_error }
+        Request {
+            class,
+            key,
+            tenant,
+            target,
+            deadline,
+            tries: 0,
+            tried: Vec::new(),
+            first_run: None,
+            pending_error: None,
+        }
     }
 }
 
@@ -79,21 +91,6 @@
     pub is_evidence: bool,
 }
 
-impl Attempt {
-    pub fn new(class: ClassId, node: &Node, sent: Ms, covariate: f64, is_evidence: bool) -> Attempt {
-        Attempt {
-            class,
-            build: node.entry.build,
-            machine_kind: node.entry.machine_kind,
-            location: (node.entry.zone, node.entry.cell),
-            sent,
-            covariate,
-            node_inflight: f64::from(node.inflight),
-            is_evidence,
-        }
-    }
-}
-
 /// The state of the build on trial in its present stage.
 #[derive(Debug, Default)]
 pub(crate) struct Trial {
@@ -122,11 +119,11 @@
     /// One-sided significance level (alpha) of a vote to revert, over all looks.
     pub alpha: f64,
     /// Outcomes of the new build that a look needs.
-    pub min_n: f64,
+    pub n: f64,
     /// An attempt that takes longer than this many mean latencies is slow.
-    pub slow_factor: f64,
+    pub slow: f64,
     /// Smallest surplus of failures that counts as harm.
-    pub min_effect: f64,
+    pub min_harm: f64,
 }
 
 /// Statistics of the answers of all nodes.
@@ -136,32 +133,22 @@
     pub earlier_scores: Vec<VecDeque<(Ms, f64)>>,
     /// The earlier build's mean latency, by class and machine kind, and overall.
     pub mean_by_kind: BTreeMap<(ClassId, MachineKindId), RunningMean>,
-    pub mean_latency: RunningMean,
+    pub latency: RunningMean,
     /// Mean latency while no build is on trial.
     pub baseline: BTreeMap<(ClassId, MachineKindId), RunningMean>,
     /// Mean latency of the nodes of a zone and machine kind, and when it was last updated.
-    pub similar_nodes: BTreeMap<(ZoneId, MachineKindId), (f64, Ms)>,
+    pub similar: BTreeMap<(ZoneId, MachineKindId), (f64, Ms)>,
     /// Running shares of attempts without an answer, of failed attempts, and of errors after which a further
     /// attempt on another node succeeded.
-    pub unanswered_rate: f64,
+    pub unanswered: f64,
     pub failure_rate: f64,
     pub retry_gain: RunningMean,
     /// Running share of attempts on nodes without a connection that could not connect.
-    pub refused_rate: f64,
+    pub refused: f64,
     /// Running mean of this marshal's requests in flight at a node when another was sent there.
     pub mean_inflight: f64,
 }
 
-impl AnswerStats {
-    /// Drops the scores of a class before `from`.
-    pub fn trim_scores(&mut self, class: ClassId, from: Ms) {
-        let scores = &mut self.earlier_scores[class.0];
-        while scores.front().is_some_and(|&(at, _)| at < from) {
-            scores.pop_front();
-        }
-    }
-}
-
 /// The dependence of latency (the response) on the newest build's share of traffic (the dose).
 #[derive(Debug, Default)]
 pub(crate) struct DoseResponse {
@@ -169,7 +156,7 @@
     pub dose: f64,
     /// Latency relative to the baseline before the build, and the share of requests that missed their target.
     pub latency_ratio: f64,
-    pub late_share: f64,
+    pub late_rate: f64,
     /// Decaying sums of the dose (covariate) and the latency ratio (score), and for how many timer periods in
     /// a row they have shown harm.
     pub sums: Sums,
@@ -178,28 +165,14 @@
     pub initial_capacity: f64,
 }
 
-impl DoseResponse {
-    /// Forgets the previous build; a new one is offered at this warm capacity.
-    pub fn restart(&mut self, capacity: f64) {
-        (self.dose, self.sums) = (0.0, Sums::default());
-        self.initial_capacity = capacity;
-    }
-    pub fn add_ratio(&mut self, ratio: f64, weight: f64) {
-        self.latency_ratio += weight * (ratio - self.latency_ratio);
-    }
-    pub fn add_late(&mut self, late: bool, weight: f64) {
-        self.late_share += weight * (f64::from(u8::from(late)) - self.late_share);
-    }
-}
-
 /// Requests, attempts and answers over time.
 #[derive(Debug, Default)]
 pub(crate) struct Traffic {
-    /// Requests within the exposure window, and attempts on builds on trial, by class.
-    pub requests: Vec<EventTimes>,
+    /// Requests taken within the exposure window, and attempts on builds on trial, by class.
+    pub taken: Vec<EventTimes>,
     pub exposed: BTreeMap<Build, Vec<EventTimes>>,
     /// When the cap was last lowered, and its value before.
-    pub lowered_cap: Option<(Ms, f64)>,
+    pub lowered: Option<(Ms, f64)>,
     /// Requests within the rate window, and answers within it.
     pub recent: EventTimes,
     pub recent_answers: EventTimes,
@@ -212,23 +185,8 @@
 
 impl Traffic {
     pub fn new(classes: usize, retry_tokens: f64) -> Traffic {
-        let requests = vec![EventTimes::default(); classes];
-        Traffic { requests, request_counts: vec![1.0; classes], retry_tokens, ..Traffic::default() }
-    }
-    pub fn add_request(&mut self, class: ClassId, now: Ms) {
-        self.request_counts[class.0] += 1.0;
-        self.requests[class.0].push(now);
-        self.recent.push(now);
-    }
-    /// Drops the request times before `from`.
-    pub fn trim_requests(&mut self, from: Ms) {
-        self.requests.iter_mut().fold(0, |n, times| n + times.trim(from));
-    }
-    /// Counts an attempt on a build on trial.
-    pub fn add_exposed(&mut self, build: Build, class: ClassId, now: Ms) {
-        let classes = self.requests.len();
-        let exposed = self.exposed.entry(build).or_insert_with(|| vec![EventTimes::default(); classes]);
-        exposed[class.0].push(now);
+        let taken = vec![EventTimes::default(); classes];
+        Traffic { taken, request_counts: vec![1.0; classes], retry_tokens, ..Traffic::default() }
     }
 }
 
@@ -239,10 +197,10 @@
     pub next_vote: Ms,
     /// Time that the platform's call budget needs for one call of each marshal.
     pub interval: Ms,
-    /// Whether discovery is subscribed to; if not, when to try again, and the pause after that attempt.
-    pub subscribed: bool,
+    /// When to subscribe to discovery again, the pause after that attempt, and whether it is subscribed to.
     pub retry_at: Ms,
     pub backoff: Ms,
+    pub subscribed: bool,
 }
 
 /// The latest messages of the group of instances; unused where each instance decides alone.
