--- a/crates/marshal/src/limits.rs
+++ b/crates/marshal/src/limits.rs
@@ -171,8 +171,9 @@
             thread_stack_bytes: 96 << 10,
             decision_stack_bytes: 1 << 20,
             connect_timeout: to_duration(transport.connect_timeout.0),
-            // The site's clients close an idle connection after 2 s. Guards against clients that send one request and
-            // keep the connection: they hold what other clients could use.
+            // The site allows the marshal to close a client connection after 2 s without an open request. This timeout
+            // guards against clients that send one request and keep the connection: they hold what other clients could
+            // use.
             client_idle_timeout: Duration::from_millis(2100),
             first_request_timeout: Duration::from_millis(2000),
             partial_request_grace: Duration::from_millis(200),
